--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -53,12 +53,8 @@
 }
 
 impl CoreMember {
-    /// Creates a member from the record on its disk; `durable` is `None` if the disk holds no record.
-    pub fn new(
-        settings: CoreMemberSettings,
-        durable: Option<MemberRecord>,
-        clocks: Clocks,
-    ) -> Self {
+    /// Creates a member from the record on its disk; `record` is `None` if the disk holds no record.
+    pub fn new(settings: CoreMemberSettings, record: Option<MemberRecord>, clocks: Clocks) -> Self {
         let replica_settings = indigofold_replication::Settings {
             address: settings.address.clone(),
             seeds: settings.seeds.clone(),
@@ -67,7 +63,7 @@
             random_seed: settings.random_seed,
         };
         CoreMember {
-            replica: Replica::new(replica_settings, durable, clocks.steady_ms),
+            replica: Replica::new(replica_settings, record, clocks.steady_ms),
             replica_inputs: ReplicaInputs::default(),
             head_role: HeadRole::default(),
             sessions: Sessions::default(),
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -52,7 +52,7 @@
     // A member that has lost its record may have made promises in earlier views. It must not vote like one that has never
     // taken part in a view.
     member_settings.bootstrap &= !opened.has_quarantined;
-    let member = CoreMember::new(member_settings, opened.durable, clocks);
+    let member = CoreMember::new(member_settings, opened.record, clocks);
     Ok((member, requests))
 }
 
@@ -69,7 +69,7 @@
     }
     log::info!(
         "database opened has_state={} bootstrap={}",
-        opened.durable.is_some(),
+        opened.record.is_some(),
         bootstrap
     );
 }
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -100,7 +100,7 @@
             Storage::open(self.directories[member].path()).expect("the database can be opened");
         let mut settings = self.settings(member);
         settings.bootstrap &= !opened.has_quarantined;
-        let node = CoreMember::new(settings, opened.durable, self.clocks());
+        let node = CoreMember::new(settings, opened.record, self.clocks());
         self.members[member] = Some(Member {
             node,
             storage: opened.storage,
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -66,7 +66,7 @@
     fn start_in(directory: TempDir, seeds: &[u8]) -> TestNode {
         let opened = Storage::open(directory.path()).expect("the database can be opened");
         TestNode {
-            node: CoreMember::new(settings(seeds), opened.durable, clocks(START_MS)),
+            node: CoreMember::new(settings(seeds), opened.record, clocks(START_MS)),
             storage: opened.storage,
             directory,
             now_ms: START_MS,
--- a/crates/ctl/src/replicas/replica.rs
+++ b/crates/ctl/src/replicas/replica.rs
@@ -106,9 +106,9 @@
             .storage
             .rows_since(0, usize::MAX)
             .context(StorageSnafu { folder })?;
-        let durable = opened.durable;
-        let member = durable.as_ref().map(|durable| durable.member.internal);
-        let view = durable.as_ref().and_then(|durable| durable.view.as_ref());
+        let record = opened.record;
+        let member = record.as_ref().map(|record| record.member.internal);
+        let view = record.as_ref().and_then(|record| record.view.as_ref());
         let view = view.map(|view| view.number);
         let rows = chunk.rows.into_iter().map(|row| (row.key.clone(), row));
         Ok(Replica {
@@ -117,7 +117,7 @@
             view,
             stored_view: chunk.viewstamp.view,
             stored_seq: chunk.viewstamp.seq,
-            trimmed: durable.map_or(0, |durable| durable.trimmed),
+            trimmed: record.map_or(0, |record| record.trimmed),
             history: chunk.history,
             rows: rows.collect(),
         })
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -49,7 +49,7 @@
         }))
     });
     let internal = ([10, 0, 0, 1], 7380).into();
-    let durable = MemberRecord {
+    let record = MemberRecord {
         member: Member { internal, disk: 0 },
         promised: ViewNumber(1),
         view: None,
@@ -68,7 +68,7 @@
     let mut storage = Storage::open(folder.path()).expect("a database").storage;
     storage
         .apply(&StoreRequest {
-            durable,
+            record,
             operations: operations.collect(),
         })
         .expect("a write");
--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreRequest {
     /// The record as it is after the changes.
-    pub durable: MemberRecord,
+    pub record: MemberRecord,
     /// Changes to the rows, in order.
     pub operations: Vec<StoreOperation>,
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! The driver has these duties:
 //!
-//! 1. `Storage::open(dir)`, then `Replica::new(settings, opened.durable, now_ms)`.
+//! 1. `Storage::open(dir)`, then `Replica::new(settings, opened.record, now_ms)`.
 //! 2. For each event: `replica.handle(now_ms, input)`. At `replica.next_timer_ms()`, pass in [`Input::Timer`].
 //! 3. [`Output::Send`]: send `message::encode(&envelope)` in a frame to the member at that internal address. Messages
 //!    may be lost when a connection breaks: the protocol repeats what is needed, so the driver does not resend. Decode
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -51,12 +51,12 @@
 
 impl Replica {
     /// Creates a member that starts with the record on its disk; `None` if the disk is empty.
-    pub fn new(settings: Settings, durable: Option<MemberRecord>, now_ms: u64) -> Replica {
-        let lease_wait_ms = if durable.is_some() { LEASE_MS } else { 0 };
+    pub fn new(settings: Settings, record: Option<MemberRecord>, now_ms: u64) -> Replica {
+        let lease_wait_ms = if record.is_some() { LEASE_MS } else { 0 };
         let vote_from_ms = now_ms + lease_wait_ms;
         let address = settings.address.clone();
         let mut replica = Replica {
-            context: Context::new(settings, durable, now_ms),
+            context: Context::new(settings, record, now_ms),
             follower: Follower::new(vote_from_ms, now_ms),
             candidate: Candidate::new(now_ms + RESUME_CAMPAIGN_INTERVAL_MS),
             head: Head::default(),
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -60,10 +60,10 @@
 
 impl StoreQueue {
     /// Creates the queue of a member that has this record on its disk; `None` if the disk is empty.
-    pub(super) fn new(durable: Option<&MemberRecord>) -> StoreQueue {
+    pub(super) fn new(record: Option<&MemberRecord>) -> StoreQueue {
         StoreQueue {
-            stored_viewstamp: durable.map_or(Viewstamp::default(), |d| d.viewstamp),
-            stored_view: durable.map_or(ViewNumber::NONE, MemberRecord::view_number),
+            stored_viewstamp: record.map_or(Viewstamp::default(), |record| record.viewstamp),
+            stored_view: record.map_or(ViewNumber::NONE, MemberRecord::view_number),
             last_store: 0,
             in_flight: None,
             operations: Vec::new(),
@@ -127,7 +127,7 @@
     pub(super) fn start(
         &mut self,
         now_ms: u64,
-        durable: &MemberRecord,
+        record: &MemberRecord,
     ) -> Option<(u64, Arc<StoreRequest>)> {
         if self.in_flight.is_some() {
             return self.retry(now_ms);
@@ -139,7 +139,7 @@
         self.last_store += 1;
         let operations = std::mem::take(&mut self.operations);
         let request = Arc::new(StoreRequest {
-            durable: durable.clone(),
+            record: record.clone(),
             operations,
         });
         self.in_flight = Some(InFlight {
@@ -164,10 +164,10 @@
     /// Handles the completion of a store; returns `None` if it is not the one under way.
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
         let done = self.in_flight.take_if(|f| f.store == store)?;
-        let durable = &done.request.durable;
-        let has_new_rows = durable.viewstamp != self.stored_viewstamp;
-        self.stored_viewstamp = durable.viewstamp;
-        self.stored_view = durable.view_number();
+        let record = &done.request.record;
+        let has_new_rows = record.viewstamp != self.stored_viewstamp;
+        self.stored_viewstamp = record.viewstamp;
+        self.stored_view = record.view_number();
         Some(Finished {
             has_new_rows,
             after: done.after,
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -257,19 +257,19 @@
     is_expected && viewstamp >= record.viewstamp
 }
 
-/// Returns true if the state `viewstamp` is a prefix of the state of `durable`, and the tombstones of all later
+/// Returns true if the state `viewstamp` is a prefix of the state of `record`, and the tombstones of all later
 /// deletions are still there. A member with that state needs only the rows that changed after it.
-fn is_earlier_state_of(viewstamp: Viewstamp, durable: &MemberRecord) -> bool {
-    if viewstamp.seq < durable.trimmed || viewstamp.view == ViewNumber::NONE {
+fn is_earlier_state_of(viewstamp: Viewstamp, record: &MemberRecord) -> bool {
+    if viewstamp.seq < record.trimmed || viewstamp.view == ViewNumber::NONE {
         return false;
     }
-    if viewstamp.view == durable.viewstamp.view {
-        return viewstamp.seq <= durable.viewstamp.seq;
+    if viewstamp.view == record.viewstamp.view {
+        return viewstamp.seq <= record.viewstamp.seq;
     }
-    let position = durable
+    let position = record
         .history
         .iter()
         .position(|start| start.view == viewstamp.view);
-    let next = position.and_then(|position| durable.history.get(position + 1));
+    let next = position.and_then(|position| record.history.get(position + 1));
     next.is_some_and(|next| viewstamp.seq <= next.seq)
 }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -25,7 +25,7 @@
     /// The database.
     pub storage: Storage,
     /// The member's record; `None` if the database is empty.
-    pub durable: Option<MemberRecord>,
+    pub record: Option<MemberRecord>,
     /// The unusable database that this opening has quarantined, if any.
     pub quarantined: Option<Quarantined>,
     /// Whether this or an earlier opening has quarantined a database, so that the member's earlier promises are lost.
@@ -71,13 +71,10 @@
             }
             Err(error) => return Err(error),
         };
-        let Loaded {
-            connection,
-            durable,
-        } = loaded;
-        let (viewstamp, history) = durable
+        let Loaded { connection, record } = loaded;
+        let (viewstamp, history) = record
             .as_ref()
-            .map(|d| (d.viewstamp, d.history.clone()))
+            .map(|record| (record.viewstamp, record.history.clone()))
             .unwrap_or_default();
         let has_quarantined = files::has_quarantined(&path);
         Ok(Opened {
@@ -87,7 +84,7 @@
                 viewstamp,
                 history,
             },
-            durable,
+            record,
             quarantined,
             has_quarantined,
         })
@@ -99,16 +96,16 @@
     ///
     /// The record cannot be encoded or `SQLite` fails; in both cases none of the changes is on disk.
     pub fn apply(&mut self, request: &StoreRequest) -> Result<(), StorageError> {
-        let record =
-            postcard::to_allocvec(&request.durable).map_err(|source| StorageError::Record {
+        let encoded =
+            postcard::to_allocvec(&request.record).map_err(|source| StorageError::Record {
                 path: self.path.clone(),
                 source,
             })?;
-        write_transaction(&mut self.connection, record, &request.operations)
+        write_transaction(&mut self.connection, encoded, &request.operations)
             .context(DatabaseSnafu { path: &self.path })?;
-        self.viewstamp = request.durable.viewstamp;
-        if self.history != request.durable.history {
-            self.history.clone_from(&request.durable.history);
+        self.viewstamp = request.record.viewstamp;
+        if self.history != request.record.history {
+            self.history.clone_from(&request.record.history);
         }
         Ok(())
     }
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -42,7 +42,7 @@
 /// An open database and its record.
 pub(super) struct Loaded {
     pub connection: Connection,
-    pub durable: Option<MemberRecord>,
+    pub record: Option<MemberRecord>,
 }
 
 /// Opens and verifies the database and reads its record; creates the tables if there are none.
@@ -75,11 +75,8 @@
         }
         rows::check_all(&connection, path)?;
     }
-    let durable = read_record(&connection, path)?;
-    Ok(Loaded {
-        connection,
-        durable,
-    })
+    let record = read_record(&connection, path)?;
+    Ok(Loaded { connection, record })
 }
 
 fn read_format(connection: &Connection) -> rusqlite::Result<u32> {
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -69,7 +69,7 @@
 /// Returns write number `seq` with these changes and the matching record.
 fn write_of(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     StoreRequest {
-        durable: record(seq),
+        record: record(seq),
         operations: vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))],
     }
 }
@@ -198,7 +198,7 @@
         opened.quarantined
     );
     let found = opened
-        .durable
+        .record
         .expect("the database contains the record")
         .viewstamp
         .seq;
@@ -269,7 +269,7 @@
         let dir = TempDir::new().expect("a temporary folder can be created");
         Image { database, log }.write(dir.path());
         let opened = Storage::open(dir.path()).expect("a partly created database can be opened");
-        assert_eq!(opened.durable, None);
+        assert_eq!(opened.record, None);
         assert!(table(&opened.storage).is_empty());
     }
 }
@@ -295,8 +295,8 @@
         tried += 1;
         if opened.quarantined.is_some() {
             found += 1;
-            assert_eq!(opened.durable, None);
-        } else if opened.durable.is_some() {
+            assert_eq!(opened.record, None);
+        } else if opened.record.is_some() {
             assert!(
                 table(&opened.storage) == rows,
                 "byte {at}: rows have changed undetected"
@@ -306,7 +306,7 @@
                 "byte {at}: a transfer has changed undetected"
             );
             assert_eq!(
-                opened.durable,
+                opened.record,
                 Some(record(60)),
                 "byte {at}: the record has changed undetected"
             );
@@ -338,7 +338,7 @@
         let opened = Storage::open(dir.path())
             .expect("a database with a damaged log is quarantined without an error");
         found += usize::from(opened.quarantined.is_some());
-        let seq = opened.durable.map(|durable| durable.viewstamp.seq);
+        let seq = opened.record.map(|record| record.viewstamp.seq);
         assert!(
             opened.quarantined.is_some() || seq == Some(8),
             "byte {at}: without quarantine the database has the state of write {seq:?}, expected 8"
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -71,7 +71,7 @@
             view: ViewNumber(VIEW),
             seq: SEQ,
         };
-        let durable = MemberRecord {
+        let record = MemberRecord {
             member: member(own),
             promised: view.number,
             agreed: true,
@@ -91,7 +91,7 @@
             tolerated_losses: 1,
             random_seed: 1,
         };
-        let replica = Replica::new(settings, Some(durable), START_MS);
+        let replica = Replica::new(settings, Some(record), START_MS);
         Harness {
             replica,
             own,
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -477,11 +477,11 @@
     fn log_view(&self, index: usize, request: &StoreRequest) {
         let known = self.nodes[index]
             .disk
-            .durable
+            .record
             .as_ref()
-            .map_or(ViewNumber::NONE, |durable| durable.viewstamp.view);
-        if request.durable.viewstamp.view != known {
-            self.log_event(&format!("{index} enters {:?}", request.durable.viewstamp));
+            .map_or(ViewNumber::NONE, |record| record.viewstamp.view);
+        if request.record.viewstamp.view != known {
+            self.log_event(&format!("{index} enters {:?}", request.record.viewstamp));
         }
     }
 
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -13,7 +13,7 @@
 /// Rows and record on disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
-    pub durable: Option<MemberRecord>,
+    pub record: Option<MemberRecord>,
     pub rows: BTreeMap<Vec<u8>, StoredRow>,
 }
 
@@ -39,7 +39,7 @@
                 }
             }
         }
-        self.durable = Some(request.durable.clone());
+        self.record = Some(request.record.clone());
     }
 
     fn put(&mut self, key: &[u8], value: Option<&Vec<u8>>, seq: u64) {
@@ -69,12 +69,14 @@
         }
         let more = end < all.len();
         all.truncate(end);
-        let durable = self.durable.as_ref();
+        let record = self.record.as_ref();
         RowsChunk {
             rows: all,
             more,
-            viewstamp: durable.map(|d| d.viewstamp).unwrap_or_default(),
-            history: durable.map(|d| d.history.clone()).unwrap_or_default(),
+            viewstamp: record.map(|record| record.viewstamp).unwrap_or_default(),
+            history: record
+                .map(|record| record.history.clone())
+                .unwrap_or_default(),
         }
     }
 
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -115,7 +115,7 @@
             random_seed,
         };
         let now_ms = self.local_ms(true_ms);
-        self.replica = Some(Replica::new(settings, self.disk.durable.clone(), now_ms));
+        self.replica = Some(Replica::new(settings, self.disk.record.clone(), now_ms));
     }
 
     /// Ends the process. If `store_survives` is set, the store under way still reaches the disk.
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -23,7 +23,7 @@
 fn write(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     let operations = vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))];
     StoreRequest {
-        durable: record(seq),
+        record: record(seq),
         operations,
     }
 }
@@ -56,7 +56,7 @@
 fn an_empty_folder_has_no_record() {
     let dir = TempDir::new().expect("a temporary folder can be created");
     let opened = Storage::open(dir.path()).expect("the database can be opened");
-    assert_eq!(opened.durable, None);
+    assert_eq!(opened.record, None);
     assert!(opened.quarantined.is_none());
     assert!(table(&opened.storage).is_empty());
 }
@@ -73,7 +73,7 @@
         .expect("the request can be stored");
     drop(storage);
     let opened = Storage::open(dir.path()).expect("the database can be opened");
-    assert_eq!(opened.durable, Some(record(21)));
+    assert_eq!(opened.record, Some(record(21)));
     let table = table(&opened.storage);
     assert_eq!(table.len(), 19);
     assert_eq!(table.get("row-1"), None);
@@ -138,7 +138,7 @@
     };
     assert_eq!(tombstones(&storage), 1);
     let trim = StoreRequest {
-        durable: record(21),
+        record: record(21),
         operations: vec![StoreOperation::Trim(21)],
     };
     storage.apply(&trim).expect("the request can be stored");
@@ -158,7 +158,7 @@
     let operations = vec![StoreOperation::Clear, StoreOperation::Put(vec![row])];
     storage
         .apply(&StoreRequest {
-            durable: record(40),
+            record: record(40),
             operations,
         })
         .expect("the request can be stored");
@@ -189,7 +189,7 @@
     drop(storage);
     let opened = Storage::open(damaged_dir.path()).expect("a torn log can be opened");
     assert!(opened.quarantined.is_none());
-    let seq = opened.durable.map_or(0, |durable| durable.viewstamp.seq);
+    let seq = opened.record.map_or(0, |record| record.viewstamp.seq);
     assert_eq!(
         table(&opened.storage).len() as u64,
         seq,
@@ -220,7 +220,7 @@
         "{}",
         quarantined.reason
     );
-    assert_eq!(opened.durable, None);
+    assert_eq!(opened.record, None);
     assert!(table(&opened.storage).is_empty());
 }
 
@@ -239,7 +239,7 @@
         .expect("the database is quarantined")
         .reason;
     assert!(reason.contains("format version 99"), "{reason}");
-    assert_eq!(opened.durable, None);
+    assert_eq!(opened.record, None);
 }
 
 #[test]
@@ -300,7 +300,7 @@
     for _ in 0..2 {
         let opened = Storage::open(dir.path()).expect("the database can be opened");
         assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
-        assert_eq!(opened.durable, Some(record(20)));
+        assert_eq!(opened.record, Some(record(20)));
         let table = table(&opened.storage);
         assert_eq!((table.len(), table.get("row-5")), (19, None));
         assert_eq!(
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -324,7 +324,7 @@
     let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
     assert!(!opened.has_quarantined);
-    assert_eq!(opened.durable, Some(record()));
+    assert_eq!(opened.record, Some(record()));
     let chunk = opened
         .storage
         .rows_since(0, usize::MAX)
@@ -378,7 +378,7 @@
         .expect("the database can be opened")
         .storage;
     let request = StoreRequest {
-        durable: record(),
+        record: record(),
         operations: Vec::new(),
     };
     storage.apply(&request).expect("the request can be stored");
