--- a/crates/control-plane/src/acting_head.rs
+++ b/crates/control-plane/src/acting_head.rs
@@ -117,7 +117,7 @@
         let authority = ConfigAuthority::load(texts).context(ConfigSnafu)?;
         let (epoch, seed) = (Epoch(view.0), view.0);
         let mut scheduler = Scheduler::new(bounds, epoch, seed, clocks.steady_ms, clocks.wall_ms);
-        let rows = rows.into_iter().filter(|row| Scheduler::is_row(&row.key));
+        let rows = rows.into_iter().filter(|row| Scheduler::owns_row(&row.key));
         let rows = rows.map(|row| (row.key, row.value));
         scheduler.load(rows).context(SchedulerSnafu)?;
         Ok(ActingHead {
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -105,7 +105,7 @@
 /// One changed row of the control state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange {
-    /// Key of the row; [`Scheduler::is_row`](crate::Scheduler::is_row) accepts it.
+    /// Key of the row; [`Scheduler::owns_row`](crate::Scheduler::owns_row) accepts it.
     pub key: Vec<u8>,
     /// New value; `None` deletes the row.
     pub value: Option<Vec<u8>>,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -56,11 +56,11 @@
     }
 
     /// Whether a row of the control state belongs to the scheduler.
-    pub fn is_row(key: &[u8]) -> bool {
+    pub fn owns_row(key: &[u8]) -> bool {
         RowKey::parse(key).is_some() || parse_instance_key(key).is_some()
     }
 
-    /// Restores the state that a previous head has written. `rows` are all rows whose keys [`is_row`](Self::is_row)
+    /// Restores the state that a previous head has written. `rows` are all rows whose keys [`owns_row`](Self::owns_row)
     /// accepts. Must be called once, before the first event.
     ///
     /// # Errors
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -11,7 +11,7 @@
 pub(crate) const AGENTS_RECONNECT_MS: u64 = 120;
 
 /// Restores all jobs and worker instances from `rows`, whose keys must all be accepted by
-/// [`is_row`](crate::Scheduler::is_row). Returns whether there is any job.
+/// [`owns_row`](crate::Scheduler::owns_row). Returns whether there is any job.
 pub(crate) fn load(
     cluster: &mut Cluster,
     rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
