--- a/crates/control-plane/src/acting_head.rs
+++ b/crates/control-plane/src/acting_head.rs
@@ -46,7 +46,7 @@
         response: ChangeResponse,
     },
     /// Log that a job ended after its latency target, or failed.
-    Late(Box<LateEnd>),
+    LateEnd(Box<LateEnd>),
     /// Log that a new configuration is in force.
     ConfigActivated {
         /// Version of the configuration.
@@ -153,7 +153,7 @@
                     to: ConnectionId(to.0),
                     reply,
                 },
-                Effect::Late(end) => HeadOutput::Late(end),
+                Effect::LateEnd(end) => HeadOutput::LateEnd(end),
                 Effect::Orders { agent, orders } => HeadOutput::Orders {
                     to: ConnectionId(agent.0),
                     orders,
--- a/crates/control-plane/src/core_member/head_outputs.rs
+++ b/crates/control-plane/src/core_member/head_outputs.rs
@@ -37,7 +37,7 @@
                     let response = OperatorResponse::Change(response);
                     self.outputs.push(Output::Respond { call, response });
                 }
-                HeadOutput::Late(end) => log::info!("{end}"),
+                HeadOutput::LateEnd(end) => log::info!("{end}"),
                 HeadOutput::ConfigActivated { version } => {
                     log::info!("configuration activated version={version}");
                 }
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -129,7 +129,7 @@
         reply: ClientReply,
     },
     /// A job or repetition ended after its latency target, or failed; to be logged.
-    Late(Box<LateEnd>),
+    LateEnd(Box<LateEnd>),
     /// Orders for a node agent.
     Orders {
         /// Connection of the node agent.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -119,7 +119,7 @@
         self.release_deferred(effects);
         self.send_orders(effects);
         let late = self.cluster.take_late_ends().into_iter();
-        effects.extend(late.map(|end| Effect::Late(Box::new(end))));
+        effects.extend(late.map(|end| Effect::LateEnd(Box::new(end))));
     }
 
     /// Passes an event to the component that handles it.
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -199,7 +199,7 @@
                     });
                 }
                 Effect::Reply { reply, .. } => self.handle_reply(reply),
-                Effect::Late(end) => self.late.push(*end),
+                Effect::LateEnd(end) => self.late.push(*end),
                 Effect::Orders { agent, orders } => {
                     self.send(Message::Orders(agent, orders));
                 }
