--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -47,11 +47,11 @@
             return self.end_run(run, RunResult::NotStarted, "");
         }
         self.jobs.record_sent(&run, self.clock.now_ms());
-        self.order_start(run);
+        self.push_start_order(run);
     }
 
     /// Sends the start order of a run, for the first time or again. The placement must be committed.
-    pub(crate) fn order_start(&mut self, run: RunId) {
+    pub(crate) fn push_start_order(&mut self, run: RunId) {
         if let Some((worker, order)) = self.jobs.start_order(run) {
             self.outbox.orders_for(worker).start.push(order);
         }
@@ -62,7 +62,7 @@
         let at = StepRef::of(&run.task);
         let gang = self.jobs.step(at).is_some_and(|step| step.gang);
         if !gang {
-            return self.stop_one(run);
+            return self.stop_single_run(run);
         }
         let members = self
             .jobs
@@ -73,7 +73,7 @@
 
     /// Stops one run immediately, without the other members of its gang. A run whose start order has not been sent ends as
     /// not started.
-    pub(crate) fn stop_one(&mut self, id: RunId) {
+    pub(crate) fn stop_single_run(&mut self, id: RunId) {
         let Some(run) = self.jobs.run(&id) else {
             return;
         };
@@ -157,7 +157,7 @@
     /// Stops all runs of a task immediately.
     pub(super) fn stop_task(&mut self, task: TaskName) {
         let attempts = self.jobs.attempts(&task).into_iter();
-        attempts.for_each(|attempt| self.stop_one(RunId { task, attempt }));
+        attempts.for_each(|attempt| self.stop_single_run(RunId { task, attempt }));
     }
 
     /// Stops a run of an ended job once the end of the job is committed. A run whose start order has not been sent ends at
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -240,9 +240,9 @@
     if job.has_ended() {
         cluster.send_stop_if_committed(order);
     } else if superseded {
-        cluster.stop_one(order);
+        cluster.stop_single_run(order);
     } else if !is_present {
-        cluster.order_start(order);
+        cluster.push_start_order(order);
     }
 }
 
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -62,7 +62,7 @@
         return;
     }
     if absent_ms >= ORDER_RETRY_MS && absent_ms % ORDER_RETRY_MS < CHECK_MS {
-        cluster.order_start(order);
+        cluster.push_start_order(order);
     }
     let view = cluster.view();
     if view.outlasts_drain(id, &task) {
