--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -26,10 +26,10 @@
                 sum.plus(&worker.capacity())
             });
         let steps = service.queue().iter().filter_map(|key| {
-            let job = self.jobs.get(&key.at.job)?;
-            let step = job.step(key.at.step)?;
-            let waiting = job.step_state(key.at)?.waiting().len();
-            let class = job.class(key.at.step);
+            let job = self.jobs.get(&key.step_ref.job)?;
+            let step = job.step(key.step_ref.step)?;
+            let waiting = job.step_state(key.step_ref)?.waiting().len();
+            let class = job.class(key.step_ref.step);
             let run_ms = service
                 .kinds()
                 .expected_at_mean_speed_ms(&class, step.estimate_ms);
--- a/crates/scheduler/src/cluster/queue_order.rs
+++ b/crates/scheduler/src/cluster/queue_order.rs
@@ -12,8 +12,13 @@
         let now_ms = self.clock.now_ms();
         for service in self.services.iter_mut() {
             let steps = service.queue().iter().take(REPOSITIONED_MAX);
-            let keys =
-                steps.filter_map(|key| Some(self.jobs.get(&key.at.job)?.queue_key(key.at, now_ms)));
+            let keys = steps.filter_map(|key| {
+                Some(
+                    self.jobs
+                        .get(&key.step_ref.job)?
+                        .queue_key(key.step_ref, now_ms),
+                )
+            });
             let keys: Vec<QueueKey> = keys.collect();
             for key in keys {
                 if let Some(before) = self.jobs.reposition(key) {
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -22,7 +22,7 @@
         keys: &[QueueKey],
     ) -> Option<u32> {
         let first = keys.iter().find(|key| !key.hopeless)?;
-        let step = self.jobs.step(first.at)?;
+        let step = self.jobs.step(first.step_ref)?;
         let small = step.cpu * SMALL_DIVISOR <= self.largest_capacity(service)
             && !step.gang
             && !step.long_running;
--- a/crates/scheduler/src/jobs/job/prospects.rs
+++ b/crates/scheduler/src/jobs/job/prospects.rs
@@ -64,7 +64,7 @@
             cost_class,
             prospect,
             latest_start_ms,
-            at,
+            step_ref: at,
         }
     }
 
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -123,7 +123,10 @@
 
     /// Sets the position of a step in the queue; returns the former one if it differs.
     pub(crate) fn reposition(&mut self, key: QueueKey) -> Option<QueueKey> {
-        let state = self.by_id.get_mut(&key.at.job)?.step_state_mut(key.at)?;
+        let state = self
+            .by_id
+            .get_mut(&key.step_ref.job)?
+            .step_state_mut(key.step_ref)?;
         state.enter_queue(key).filter(|before| *before != key)
     }
 
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -15,7 +15,7 @@
 
 /// Whether the event puts this step into the queue.
 fn enqueues_step(event: &JobEvent, step: u32) -> bool {
-    matches!(event, JobEvent::StepEnqueued { key, .. } if key.at == builder::at(step))
+    matches!(event, JobEvent::StepEnqueued { key, .. } if key.step_ref == builder::at(step))
 }
 
 #[test]
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -124,7 +124,8 @@
                 self.visit_step(cluster, service, *key, Locality::LocalOnly, &mut pass);
             });
             let remaining = group.iter().filter(|key| {
-                cluster.view().has_locality(key.at) && cluster.view().has_waiting_tasks(key.at)
+                cluster.view().has_locality(key.step_ref)
+                    && cluster.view().has_waiting_tasks(key.step_ref)
             });
             let remaining: Vec<QueueKey> = remaining.copied().collect();
             remaining.into_iter().for_each(|key| {
@@ -146,11 +147,12 @@
         locality: Locality,
         pass: &mut Pass,
     ) {
-        let Some(shape) = cluster.view().task_shape(key.at) else {
+        let Some(shape) = cluster.view().task_shape(key.step_ref) else {
             return;
         };
         let resources = shape.resources;
-        let honors_blocked = !(pass.has_spare_capacity && cluster.view().has_waited_long(key.at));
+        let honors_blocked =
+            !(pass.has_spare_capacity && cluster.view().has_waited_long(key.step_ref));
         let blocked_by_earlier = honors_blocked
             && pass
                 .blocked
@@ -160,13 +162,13 @@
         if !cannot_fit {
             self.place_step(cluster, service, key, locality);
         }
-        if !cluster.view().has_waiting_tasks(key.at) {
-            return cluster.dequeue(key.at);
+        if !cluster.view().has_waiting_tasks(key.step_ref) {
+            return cluster.dequeue(key.step_ref);
         }
         let cause = cluster
             .view()
-            .wait_cause(key.at, blocked_by_earlier, cannot_fit);
-        cluster.record_wait(key.at, cause);
+            .wait_cause(key.step_ref, blocked_by_earlier, cannot_fit);
+        cluster.record_wait(key.step_ref, cause);
         if !cannot_fit {
             pass.largest_free = cluster.view().largest_free(service);
             if !shape.constrained {
@@ -174,7 +176,7 @@
             }
         }
         if pass.reserved.len() < RESERVATIONS_MAX && reserve(cluster, service, key) {
-            pass.reserved.push(key.at);
+            pass.reserved.push(key.step_ref);
         }
     }
 
@@ -187,7 +189,7 @@
         key: QueueKey,
         locality: Locality,
     ) {
-        let step_ref = key.at;
+        let step_ref = key.step_ref;
         let Some(job) = cluster.jobs().get(&step_ref.job) else {
             return;
         };
--- a/crates/scheduler/src/placement/reserve.rs
+++ b/crates/scheduler/src/placement/reserve.rs
@@ -50,7 +50,7 @@
     let Some(state) = cluster.services().get(service) else {
         return false;
     };
-    if state.reservations().are_current(key.at, now_ms) {
+    if state.reservations().are_current(key.step_ref, now_ms) {
         return true;
     }
     let reserved = match cluster.view().plan_reservations(state, key) {
@@ -62,7 +62,9 @@
     let reserved = reserved.into_iter();
     let reserved = reserved.map(|planned| (planned.worker, planned.reservation));
     if let Some(state) = cluster.services_mut().get_mut(service) {
-        state.reservations_mut().replace(key.at, reserved, now_ms);
+        state
+            .reservations_mut()
+            .replace(key.step_ref, reserved, now_ms);
     }
     found
 }
@@ -70,7 +72,7 @@
 impl ClusterView<'_> {
     /// Selects the workers to reserve for a step: those that are expected to have capacity for its tasks first.
     fn plan_reservations(&self, service: &ServiceState, key: QueueKey) -> ReservationPlan {
-        let Some(LargeDemand { demand, members }) = self.large_demand(service, key.at) else {
+        let Some(LargeDemand { demand, members }) = self.large_demand(service, key.step_ref) else {
             return ReservationPlan::NotNeeded;
         };
         let Some(outlook) = self.outlook(service, &demand, members) else {
@@ -84,7 +86,7 @@
         let planned = |(worker, count): (WorkerId, u32)| PlannedReservation {
             worker,
             reservation: Reservation {
-                step: key.at,
+                step: key.step_ref,
                 priority: key.priority,
                 resources: multiply(&demand.resources, u64::from(count)),
                 free_ms: outlook.free_ms,
--- a/crates/scheduler/src/placement/speculation.rs
+++ b/crates/scheduler/src/placement/speculation.rs
@@ -58,7 +58,7 @@
             return;
         };
         let (Some(demand), Some(entry)) = (
-            StepDemand::for_step(job, run.key.at, cluster.clock().now_ms()),
+            StepDemand::for_step(job, run.key.step_ref, cluster.clock().now_ms()),
             job.task(&run.task),
         ) else {
             return;
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -100,14 +100,18 @@
     /// Runs to stop for a step that would otherwise miss its latency target; empty if it is expected to start in time,
     /// or if no worker of the service can ever have capacity for it.
     fn victims_for(&self, service: &str, key: QueueKey, claimed: &mut Claimed) -> Vec<Victim> {
-        let found = self.services.get(service).zip(self.jobs.get(&key.at.job));
+        let found = self
+            .services
+            .get(service)
+            .zip(self.jobs.get(&key.step_ref.job));
         let Some((service, job)) = found else {
             return Vec::new();
         };
-        let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else {
+        let (Some(step), Some(state)) = (job.step(key.step_ref.step), job.step_state(key.step_ref))
+        else {
             return Vec::new();
         };
-        let Some(demand) = StepDemand::for_step(job, key.at, self.now_ms) else {
+        let Some(demand) = StepDemand::for_step(job, key.step_ref, self.now_ms) else {
             return Vec::new();
         };
         let waiting = state.waiting().len() as u32;
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -61,7 +61,7 @@
     /// Latest start that meets the job's latency target, in milliseconds of the steady clock.
     pub latest_start_ms: i64,
     /// The step itself.
-    pub at: StepRef,
+    pub step_ref: StepRef,
 }
 
 /// Steps with tasks to place, in the order in which they get capacity.
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -87,7 +87,7 @@
     /// Removes a step from the queue and releases its reservations.
     pub(crate) fn dequeue(&mut self, key: &QueueKey) {
         self.queue.remove(key);
-        self.reservations.release(key.at);
+        self.reservations.release(key.step_ref);
     }
 
     /// Changes the position of a step in the queue from `before` to `key`.
