--- a/crates/scheduler/src/jobs/run/tests.rs
+++ b/crates/scheduler/src/jobs/run/tests.rs
@@ -37,9 +37,9 @@
 #[test]
 fn time_of_a_run_whose_order_was_lost_counts_as_dispatch() {
     let breakdown = latency_of_unstarted(&run(true, false));
-    assert_eq!(breakdown.of(Cause::Commit), SENT_MS - PLACED_MS);
-    assert_eq!(breakdown.of(Cause::Dispatch), ENDED_MS - SENT_MS);
-    assert_eq!(breakdown.of(Cause::Stopped), 0);
+    assert_eq!(breakdown.get(Cause::Commit), SENT_MS - PLACED_MS);
+    assert_eq!(breakdown.get(Cause::Dispatch), ENDED_MS - SENT_MS);
+    assert_eq!(breakdown.get(Cause::Stopped), 0);
 }
 
 #[rstest]
@@ -47,6 +47,6 @@
 #[case::on_its_way(run(true, true))]
 fn time_of_a_run_that_was_stopped_before_it_began_counts_as_stopped(#[case] run: Run) {
     let breakdown = latency_of_unstarted(&run);
-    assert_eq!(breakdown.of(Cause::Stopped), ENDED_MS - PLACED_MS);
-    assert_eq!(breakdown.of(Cause::Dispatch), 0);
+    assert_eq!(breakdown.get(Cause::Stopped), ENDED_MS - PLACED_MS);
+    assert_eq!(breakdown.get(Cause::Dispatch), 0);
 }
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -92,7 +92,7 @@
 
 impl LatencyBreakdown {
     /// Time spent on one cause, in milliseconds.
-    pub fn of(&self, cause: Cause) -> u64 {
+    pub fn get(&self, cause: Cause) -> u64 {
         u64::from(self.0[cause as usize])
     }
 
@@ -110,7 +110,7 @@
     /// Adds another breakdown, cause by cause.
     pub(crate) fn add_all(&mut self, other: &LatencyBreakdown) {
         for cause in Cause::ALL {
-            self.add(cause, other.of(cause));
+            self.add(cause, other.get(cause));
         }
     }
 
@@ -122,17 +122,17 @@
             return self.add(Cause::Queue, ms);
         }
         for cause in Cause::ALL {
-            self.add(cause, ms * observed.of(cause) / total_ms);
+            self.add(cause, ms * observed.get(cause) / total_ms);
         }
     }
 }
 
 impl Display for LatencyBreakdown {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let spent = Cause::ALL.into_iter().filter(|cause| self.of(*cause) > 0);
+        let spent = Cause::ALL.into_iter().filter(|cause| self.get(*cause) > 0);
         for (number, cause) in spent.enumerate() {
             let space = if number > 0 { " " } else { "" };
-            write!(formatter, "{space}{}={}", cause.name(), self.of(cause))?;
+            write!(formatter, "{space}{}={}", cause.name(), self.get(cause))?;
         }
         Ok(())
     }
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -15,7 +15,10 @@
 
 /// Checks that the breakdown adds up to the total time, except for rounding (up to 1 ms per cause).
 fn assert_breakdown_complete(end: &LateEnd) {
-    let sum: u64 = Cause::ALL.map(|cause| end.breakdown.of(cause)).iter().sum();
+    let sum: u64 = Cause::ALL
+        .map(|cause| end.breakdown.get(cause))
+        .iter()
+        .sum();
     assert!(
         end.took_ms.abs_diff(sum) <= 12,
         "{end}: the breakdown adds up to {sum} ms"
@@ -49,16 +52,16 @@
         (job, JobState::Completed, "quick")
     );
     assert_breakdown_complete(end);
-    assert!(end.breakdown.of(Cause::Capacity) > 4_000, "{end}");
+    assert!(end.breakdown.get(Cause::Capacity) > 4_000, "{end}");
     assert!(
-        (500..800).contains(&end.breakdown.of(Cause::Failed)),
+        (500..800).contains(&end.breakdown.get(Cause::Failed)),
         "{end}"
     );
     assert!(
-        (900..1_300).contains(&end.breakdown.of(Cause::Run)),
+        (900..1_300).contains(&end.breakdown.get(Cause::Run)),
         "{end}"
     );
-    assert!(end.breakdown.of(Cause::Commit) >= 24, "{end}");
+    assert!(end.breakdown.get(Cause::Commit) >= 24, "{end}");
 }
 
 /// The rack with the data is full, but other racks are not: the wait counts as locality, not as capacity.
@@ -80,8 +83,8 @@
         .find(|end| end.job == job)
         .expect("the job was reported as a late end");
     assert_breakdown_complete(late);
-    assert!(late.breakdown.of(Cause::Locality) > 100, "{late}");
-    assert_eq!(late.breakdown.of(Cause::Queue), 0, "{late}");
+    assert!(late.breakdown.get(Cause::Locality) > 100, "{late}");
+    assert_eq!(late.breakdown.get(Cause::Queue), 0, "{late}");
 }
 
 #[test]
@@ -92,7 +95,7 @@
     cluster.run_for(4_000);
     let end = only_late_end(&cluster);
     assert_eq!((end.job, end.state), (job, JobState::Failed));
-    assert!(end.breakdown.of(Cause::Failed) > 900, "{end}");
+    assert!(end.breakdown.get(Cause::Failed) > 900, "{end}");
     assert_breakdown_complete(end);
 }
 
@@ -113,7 +116,7 @@
         .find(|end| end.job == job)
         .expect("the job was reported as a late end");
     assert!(
-        (800..1_300).contains(&late.breakdown.of(Cause::Predecessor)),
+        (800..1_300).contains(&late.breakdown.get(Cause::Predecessor)),
         "{late}"
     );
     assert_breakdown_complete(late);
