--- a/crates/scheduler/src/cluster/learning.rs
+++ b/crates/scheduler/src/cluster/learning.rs
@@ -35,7 +35,7 @@
         }
         if let Some(worker) = self.workers.get_mut(run.worker()) {
             let pace = pace.filter(|_| worker.is_warm(run.placed_ms()));
-            worker.health_mut().succeeded(now_ms, pace);
+            worker.health_mut().record_success(now_ms, pace);
         }
     }
 
@@ -44,7 +44,9 @@
     fn learn_from_failure(&mut self, ended: &RunEnded) {
         let is_doubtful = ended.failed_elsewhere || ended.traits.long_running;
         if let Some(worker) = self.workers.get_mut(ended.run.worker()) {
-            worker.health_mut().failed(self.clock.now_ms(), is_doubtful);
+            worker
+                .health_mut()
+                .record_failure(self.clock.now_ms(), is_doubtful);
         }
     }
 }
--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -21,7 +21,7 @@
         };
         if let Some(worker) = self.workers.get_mut(placement.worker) {
             worker.occupy(task, &resources, placement.bound);
-            worker.health_mut().placed(now_ms);
+            worker.health_mut().record_placement(now_ms);
         }
         self.process_job_events();
         self.defer(Deferred::Start(RunId { task, attempt }));
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -76,7 +76,7 @@
 impl WorkerHealth {
     /// Records a run that ended `done`. `slowdown` is its run time divided by the expected one; `None` if the run is no
     /// sample of the worker's speed. The success ends a suspicion unless the worker is too slow.
-    pub(crate) fn succeeded(&mut self, now_ms: u64, slowdown: Option<f64>) {
+    pub(crate) fn record_success(&mut self, now_ms: u64, slowdown: Option<f64>) {
         self.decay(now_ms);
         self.successes += 1.0;
         self.streak = 0.0;
@@ -98,7 +98,7 @@
 
     /// Records a run that failed or hung. `is_doubtful`: the cause is probably the job, which has failed on another
     /// worker too, or is long-running.
-    pub(crate) fn failed(&mut self, now_ms: u64, is_doubtful: bool) {
+    pub(crate) fn record_failure(&mut self, now_ms: u64, is_doubtful: bool) {
         self.decay(now_ms);
         let weight = if is_doubtful { DOUBTFUL_FAILURE } else { 1.0 };
         (self.failures, self.streak) = (self.failures + weight, self.streak + weight);
@@ -111,7 +111,7 @@
 
     /// Records a run that was so much slower than expected that it was stopped to be moved: the worker is suspected at
     /// once.
-    pub(crate) fn too_slow(&mut self, now_ms: u64) {
+    pub(crate) fn record_straggler(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.log_slowdown = self.log_slowdown.max(SLOWDOWN_MAX.ln());
         self.suspect(now_ms);
@@ -128,7 +128,7 @@
 
     /// Records a placed run. On probation its result decides about the worker; until then the worker is suspected
     /// again. If no result comes within the backoff, a new probation begins.
-    pub(crate) fn placed(&mut self, now_ms: u64) {
+    pub(crate) fn record_placement(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::OnProbation
             && let Some(suspicion) = &mut self.suspected
         {
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -68,9 +68,11 @@
     if view.outlasts_drain(id, &task) {
         cluster.stop_run(order);
     } else if view.hangs(id, &task) {
-        move_run(cluster, id, order, |health| health.failed(now_ms, false));
+        move_run(cluster, id, order, |health| {
+            health.record_failure(now_ms, false);
+        });
     } else if slowdown.is_some_and(|slowdown| view.is_straggling(id, &task, slowdown)) {
-        move_run(cluster, id, order, |health| health.too_slow(now_ms));
+        move_run(cluster, id, order, |health| health.record_straggler(now_ms));
     }
 }
 
