--- a/crates/scheduler/src/cluster/instances.rs
+++ b/crates/scheduler/src/cluster/instances.rs
@@ -14,9 +14,9 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.answered(now_ms);
+        worker.record_answer(now_ms);
         let before = worker.backend().to_owned();
-        let changed = worker.apply_report(now_ms, report) | worker.revive();
+        let changed = worker.apply_report(now_ms, report) | worker.clear_expiry();
         if changed {
             self.regroup(&before);
             self.regroup(&report.backend);
@@ -86,7 +86,7 @@
             self.end_run(run, RunResult::Lost, "");
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.expire(now_ms);
+            worker.record_expiry(now_ms);
         }
         self.regroup(&backend);
     }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -85,7 +85,7 @@
     let mut expected_instance = String::new();
     for id in workers.instances_on(node_name) {
         if let Some(worker) = workers.get_mut(id) {
-            worker.answered(now_ms);
+            worker.record_answer(now_ms);
             worker.instance().clone_into(&mut expected_instance);
         }
     }
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -226,7 +226,7 @@
     }
 
     /// Records that a report of the node agent is answered: the answer extends its authority to grant run leases.
-    pub(crate) fn answered(&mut self, now_ms: u64) {
+    pub(crate) fn record_answer(&mut self, now_ms: u64) {
         self.answered_ms = now_ms;
     }
 
@@ -236,12 +236,12 @@
     }
 
     /// Records that the leases have expired without a report.
-    pub(crate) fn expire(&mut self, now_ms: u64) {
+    pub(crate) fn record_expiry(&mut self, now_ms: u64) {
         self.expired_ms = Some(now_ms);
     }
 
     /// Records that the instance is reported again; returns whether its leases had expired.
-    pub(crate) fn revive(&mut self) -> bool {
+    pub(crate) fn clear_expiry(&mut self) -> bool {
         self.expired_ms.take().is_some()
     }
 
