--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -131,9 +131,9 @@
             Event::CallerDisconnected(caller) => cluster.outbox_mut().drop_replies_to(caller),
             Event::Committed(write) => cluster.outbox_mut().commit(write),
             Event::AgentConnected { agent, node_name } => {
-                cluster.workers_mut().connected(agent, node_name);
+                cluster.workers_mut().add_connection(agent, node_name);
             }
-            Event::AgentDisconnected(agent) => cluster.workers_mut().disconnected(agent),
+            Event::AgentDisconnected(agent) => cluster.workers_mut().remove_connection(agent),
             Event::Report { agent, report } => self.reports.handle(cluster, agent, report),
             Event::Timer => {}
         }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -129,9 +129,9 @@
     }
 
     /// Adds the connection of a node agent; it replaces an older connection of the same machine.
-    pub(crate) fn connected(&mut self, agent: AgentId, node_name: String) {
+    pub(crate) fn add_connection(&mut self, agent: AgentId, node_name: String) {
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
-            self.disconnected(older);
+            self.remove_connection(older);
         }
         self.connections.insert(
             agent,
@@ -143,7 +143,7 @@
     }
 
     /// Removes a connection that has closed.
-    pub(crate) fn disconnected(&mut self, agent: AgentId) {
+    pub(crate) fn remove_connection(&mut self, agent: AgentId) {
         let Some(connection) = self.connections.remove(&agent) else {
             return;
         };
