--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -76,7 +76,7 @@
     }
 
     /// Starts recording a trace of each placement.
-    pub(crate) fn follow(&mut self) {
+    pub(crate) fn start_tracing(&mut self) {
         self.traces = Some(Vec::new());
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -79,7 +79,7 @@
 
     /// Starts recording how workers are selected; [`take_traces`](Self::take_traces) returns the records.
     pub fn trace_placements(&mut self) {
-        self.placer.follow();
+        self.placer.start_tracing();
     }
 
     /// Returns the placements recorded since the last call; empty unless [`trace_placements`](Self::trace_placements) was
