--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -181,7 +181,7 @@
     /// Solves problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers, for all services.
     pub(crate) fn solve_kind_probabilities(&mut self) {
         for service in self.services.iter_mut() {
-            service.kinds_mut().resolve(&self.workers);
+            service.kinds_mut().update_probabilities(&self.workers);
         }
     }
 
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -161,7 +161,7 @@
     }
 
     /// Updates the mean load and the probabilities of the kinds.
-    pub(crate) fn resolve(&mut self, workers: &Workers) {
+    pub(crate) fn update_probabilities(&mut self, workers: &Workers) {
         let load = self.measured_load(workers);
         self.load = LOAD_KEEP * self.load + (1.0 - LOAD_KEEP) * load;
         self.solve(workers);
