--- a/crates/control-plane/src/acting_head.rs
+++ b/crates/control-plane/src/acting_head.rs
@@ -19,7 +19,7 @@
 pub enum HeadOutput {
     /// Write these rows atomically; the caller reports the commit with [`ActingHead::committed`].
     Submit {
-        /// Id of the write.
+        /// ID of the write.
         write_id: SubmissionId,
         /// The rows to set or delete.
         changes: Vec<RowChange>,
@@ -40,7 +40,7 @@
     },
     /// Respond to an operator request.
     Respond {
-        /// Id of the request.
+        /// ID of the request.
         call: OperatorCallId,
         /// The response.
         response: ChangeResponse,
@@ -81,9 +81,9 @@
 /// Writes of a head that has ended.
 #[derive(Debug)]
 pub struct UncommittedWrites {
-    /// Id for the first write of the next head of this process.
+    /// ID for the first write of the next head of this process.
     pub next_write_id: SubmissionId,
-    /// Ids of the writes that have no result yet.
+    /// IDs of the writes that have no result yet.
     pub write_ids: Vec<SubmissionId>,
 }
 
@@ -93,13 +93,13 @@
     authority: ConfigAuthority,
     /// For each write without a result yet, the component that waits for it.
     writers: HashMap<SubmissionId, Writer>,
-    /// Id of the next write. Ids are unique across all heads of this process: the next head continues from here.
+    /// ID of the next write. IDs are unique across all heads of this process: the next head continues from here.
     next_write_id: SubmissionId,
 }
 
 impl ActingHead {
     /// Creates the head of `view` from all stored rows. The number of the view is the epoch that fences the head's orders. Write
-    /// ids are assigned from `first_write_id` upwards.
+    /// IDs are assigned from `first_write_id` upwards.
     ///
     /// # Errors
     ///
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns when the scheduler's [`Event::Timer`] is due, on the steady clock in milliseconds.
+    /// Returns when the scheduler's [`Event::Timer`] is due, on the monotonic clock in milliseconds.
     pub fn next_timer_ms(&self) -> u64 {
         self.scheduler.next_timer_ms()
     }
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Assigns an id to a write and records the component that waits for it.
+    /// Assigns an ID to a write and records the component that waits for it.
     fn submit(&mut self, writer: Writer, changes: Vec<RowChange>) -> HeadOutput {
         let write_id = self.next_write_id;
         self.next_write_id = SubmissionId(write_id.0 + 1);
--- a/crates/control-plane/src/clocks.rs
+++ b/crates/control-plane/src/clocks.rs
@@ -3,8 +3,8 @@
 /// The two clocks, read at the same moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clocks {
-    /// The steady (monotonic) clock, in milliseconds; all timers and leases use it.
+    /// The monotonic clock, in milliseconds; all timers and leases use it.
     pub steady_ms: u64,
-    /// The time of day, in milliseconds since 1970.
+    /// The wall-clock time, as Unix time in milliseconds.
     pub wall_ms: u64,
 }
--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -116,7 +116,7 @@
             .extend(dials.into_iter().map(|address| Output::Dial { address }));
     }
 
-    /// Returns when [`Self::handle_timeout`] is due, on the steady clock in milliseconds. Any input may change the result.
+    /// Returns when [`Self::handle_timeout`] is due, on the monotonic clock in milliseconds. Any input may change the result.
     pub fn next_timeout_ms(&self, clocks: Clocks) -> u64 {
         let timers = [
             self.replica.next_timer_ms(),
@@ -129,8 +129,8 @@
             .fold(self.head_role.load_due_ms(), u64::min)
     }
 
-    /// Returns the actions for all inputs since the last call. `now_ms` must be a fresh reading of the steady clock: if the
-    /// lease has expired since the inputs were handled, outputs that only an acting head may send are withheld.
+    /// Returns the actions for all inputs since the last call. `now_ms` must be a fresh reading of the monotonic clock: if
+    /// the lease has expired since the inputs were handled, outputs that only an acting head may send are withheld.
     pub fn poll_outputs(&mut self, now_ms: u64) -> Vec<Output> {
         self.refresh_announcement(now_ms);
         let outputs = std::mem::take(&mut self.outputs);
@@ -168,7 +168,8 @@
         self.head_role.leading().is_some() && self.replica.may_act(now_ms)
     }
 
-    /// Returns when the scheduler's timer is due, on the steady clock; [`u64::MAX`] while this member is not the acting head.
+    /// Returns when the scheduler's timer is due, on the monotonic clock; [`u64::MAX`] while this member is not the
+    /// acting head.
     fn scheduler_timer_ms(&self, clocks: Clocks) -> u64 {
         match self.head_role.leading() {
             Some(head) if self.replica.may_act(clocks.steady_ms) => head.next_timer_ms(),
--- a/crates/control-plane/src/core_member/announcement.rs
+++ b/crates/control-plane/src/core_member/announcement.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct Announcement {
     welcome: Welcome,
-    /// When the next refresh is due, on the steady clock; 0 for at once.
+    /// When the next refresh is due, on the monotonic clock; 0 for at once.
     refresh_due_ms: u64,
 }
 
--- a/crates/control-plane/src/core_member/head_role.rs
+++ b/crates/control-plane/src/core_member/head_role.rs
@@ -14,8 +14,8 @@
 enum HeadState {
     /// Another member is the head, or there is no head.
     Follower,
-    /// Head of `view` without its rows. They are to be requested at `request_due_ms` on the steady clock; [`u64::MAX`] while a
-    /// request is open.
+    /// Head of `view` without its rows. They are to be requested at `request_due_ms` on the monotonic clock;
+    /// [`u64::MAX`] while a request is open.
     Loading {
         view: ViewNumber,
         request_due_ms: u64,
@@ -27,7 +27,7 @@
 /// The current role, and the writes of all terms as head.
 pub(super) struct HeadRole {
     state: HeadState,
-    /// Id for the first write of the next [`ActingHead`].
+    /// ID for the first write of the next [`ActingHead`].
     next_write_id: SubmissionId,
     /// Writes of former [`ActingHead`]s of this process that have no result yet. Rows are loaded only once this set is empty, so
     /// that they hold the results of all of them.
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns when [`Self::poll_load`] is due, on the steady clock in milliseconds; [`u64::MAX`] if nothing is to be requested.
+    /// Returns when [`Self::poll_load`] is due, on the monotonic clock in milliseconds; [`u64::MAX`] if nothing is to be
+    /// requested.
     pub(super) fn load_due_ms(&self) -> u64 {
         match self.state {
             HeadState::Loading { request_due_ms, .. } => request_due_ms,
--- a/crates/control-plane/src/core_member/interface.rs
+++ b/crates/control-plane/src/core_member/interface.rs
@@ -57,7 +57,7 @@
     },
     /// A request of the operator.
     Operator {
-        /// Id of the request, to be used in the response.
+        /// ID of the request, to be used in the response.
         call: OperatorCallId,
         /// The request.
         request: OperatorRequest,
@@ -96,7 +96,7 @@
     },
     /// Respond to a request of the operator.
     Respond {
-        /// Id of the request.
+        /// ID of the request.
         call: OperatorCallId,
         /// The response.
         response: OperatorResponse,
--- a/crates/control-plane/src/core_member/scrub.rs
+++ b/crates/control-plane/src/core_member/scrub.rs
@@ -13,7 +13,7 @@
 pub(super) struct Scrub {
     /// Key of the last row that was checked; empty at the start of the table.
     after: Vec<u8>,
-    /// When the next request is due, on the steady clock; `None` while a request is open.
+    /// When the next request is due, on the monotonic clock; `None` while a request is open.
     due_ms: Option<u64>,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns when the next request is due, on the steady clock in milliseconds; [`u64::MAX`] while a request is open.
+    /// Returns when the next request is due, on the monotonic clock in milliseconds; [`u64::MAX`] while a request is open.
     pub(super) fn due_ms(&self) -> u64 {
         self.due_ms.unwrap_or(u64::MAX)
     }
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -81,9 +81,9 @@
     /// Operator requests without a response yet, with the channel for the response.
     calls: HashMap<OperatorCallId, oneshot::Sender<OperatorResponse>>,
     next_call: OperatorCallId,
-    /// When the process ends at the latest, on the steady clock; set by the first SIGTERM.
+    /// When the process ends at the latest, on the monotonic clock; set by the first SIGTERM.
     stop_deadline_ms: Option<u64>,
-    /// When the seeds are next read from the settings if no head is known by then, on the steady clock.
+    /// When the seeds are next read from the settings if no head is known by then, on the monotonic clock.
     settings_due_ms: u64,
 }
 
--- a/crates/control-plane/src/driver/connections.rs
+++ b/crates/control-plane/src/driver/connections.rs
@@ -24,7 +24,7 @@
 #[derive(Clone)]
 pub(super) struct Connections {
     senders: Rc<RefCell<HashMap<ConnectionId, FrameSender>>>,
-    /// Id of the next connection.
+    /// ID of the next connection.
     next_id: Rc<Cell<u64>>,
     inbox: Inbox<Event>,
 }
@@ -117,7 +117,7 @@
         self.push_input(Input::Closed { connection });
     }
 
-    /// Assigns an id to a new connection and stores its sending half.
+    /// Assigns an ID to a new connection and stores its sending half.
     fn add(&self, connection: Connection) -> (ConnectionId, FrameReader) {
         let id = ConnectionId(self.next_id.replace(self.next_id.get() + 1));
         self.senders.borrow_mut().insert(id, connection.sender);
--- a/crates/control-plane/src/inspection/capacity.rs
+++ b/crates/control-plane/src/inspection/capacity.rs
@@ -11,7 +11,7 @@
 /// The parts of a node agent's report about its worker that seldom change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerProfile {
-    /// Id of the worker's instance.
+    /// ID of the worker's instance.
     pub instance: String,
     /// Service that the worker belongs to.
     pub backend: String,
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -10,7 +10,7 @@
 use indigofold_protocol::job::Step;
 
 /// Returns the report on a job under the given configuration. Without the definition, which is not kept for ended jobs, the
-/// report holds only the id and the state.
+/// report holds only the ID and the state.
 pub fn job_report(
     record: &JobRecord,
     config: Option<&Config>,
@@ -62,7 +62,8 @@
         .clone()
 }
 
-/// Returns when the next repetition of a job with set start times is due, in milliseconds since 1970; `None` if there is none.
+/// Returns when the next repetition of a job with set start times is due, as Unix time in milliseconds; `None` if there
+/// is none.
 fn next_due_wall_ms(definition: &Definition, progress: &Progress) -> Option<u64> {
     let spec = &definition.spec;
     let next = progress.next_repeat;
--- a/crates/control-plane/src/inspection/rows.rs
+++ b/crates/control-plane/src/inspection/rows.rs
@@ -40,7 +40,7 @@
     pub service: String,
     /// Terms of the route when the job was accepted.
     pub terms: Terms,
-    /// When the job was accepted, in milliseconds since 1970.
+    /// When the job was accepted, as Unix time in milliseconds.
     pub accepted_wall_ms: u64,
 }
 
@@ -64,7 +64,7 @@
     pub end: Option<End>,
     /// Number of the first repetition that is not due yet.
     pub next_repeat: u32,
-    /// Ids of the instances that runs refer to.
+    /// IDs of the instances that runs refer to.
     pub instances: Vec<String>,
     /// Repetitions that are due and have not ended.
     pub repeats: Vec<RepeatRow>,
@@ -91,7 +91,7 @@
     pub step: u32,
     /// Number of the task within the step, from 0.
     pub index: u32,
-    /// Id of the instance that runs it.
+    /// ID of the instance that runs it.
     pub instance: String,
     /// Attempt number of the run.
     pub attempt: u32,
@@ -102,7 +102,7 @@
 pub struct End {
     /// `Completed`, `Failed` or `Cancelled`.
     pub state: JobState,
-    /// When the job ended, in milliseconds since 1970.
+    /// When the job ended, as Unix time in milliseconds.
     pub wall_ms: u64,
 }
 
--- a/crates/control-plane/src/inspection/table_summary.rs
+++ b/crates/control-plane/src/inspection/table_summary.rs
@@ -15,7 +15,7 @@
     pub queues: BTreeMap<String, QueueStatus>,
     /// Numbers of ended jobs whose rows are still kept.
     pub ended: EndedJobs,
-    /// Resources that outstanding runs use, by the id of the instance.
+    /// Resources that outstanding runs use, by the ID of the instance.
     pub used: FxHashMap<String, Resources>,
     /// The requested job; `None` if none was requested or it does not exist.
     pub job: Option<JobRecord>,
@@ -30,7 +30,7 @@
 /// A job in full.
 #[derive(Debug)]
 pub struct JobRecord {
-    /// Id of the job.
+    /// ID of the job.
     pub id: JobId,
     /// The job as it was accepted; `None` for ended jobs, whose definition is not kept.
     pub definition: Option<Definition>,
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    /// Closed; to be dialled at `until_ms` on the steady clock.
+    /// Closed; to be dialled at `until_ms` on the monotonic clock.
     Waiting { until_ms: u64 },
     /// [`Peers::poll_dials`] has returned the address; the result of the dial is not known yet.
     Dialling,
@@ -89,7 +89,8 @@
         due
     }
 
-    /// Returns when [`Self::poll_dials`] is due, on the steady clock in milliseconds; [`u64::MAX`] if no dial is scheduled.
+    /// Returns when [`Self::poll_dials`] is due, on the monotonic clock in milliseconds; [`u64::MAX`] if no dial is
+    /// scheduled.
     pub fn next_due_ms(&self) -> u64 {
         let waiting = self.links.values().filter_map(|link| match link.state {
             LinkState::Waiting { until_ms } => Some(until_ms),
--- a/crates/control-plane/tests/control_plane/builders.rs
+++ b/crates/control-plane/tests/control_plane/builders.rs
@@ -7,9 +7,9 @@
 use indigofold_control_plane::sessions::ConnectionId;
 use indigofold_protocol::internal::{ClientOutcome, Frame, Hello, ProcessKind};
 
-/// Reading of the steady clock at the start of a test, in milliseconds.
+/// Reading of the monotonic clock at the start of a test, in milliseconds.
 pub(crate) const START_MS: u64 = 1_000_000;
-/// Time of day at the start of a test, in milliseconds since 1970.
+/// Wall-clock time at the start of a test, as Unix time in milliseconds.
 const START_WALL_MS: u64 = 1_700_000_000_000;
 /// Connection of the edge.
 pub(crate) const EDGE: ConnectionId = ConnectionId(1_000_000);
@@ -18,7 +18,7 @@
 /// Largest request body that configurations from [`config_text`] allow, in bytes.
 pub(crate) const MAX_BODY_BYTES: u64 = 9_999;
 
-/// Returns readings of both clocks; the time of day advances with the steady clock.
+/// Returns readings of both clocks; the wall-clock time advances with the monotonic clock.
 pub(crate) fn clocks(steady_ms: u64) -> Clocks {
     Clocks {
         steady_ms,
--- a/crates/control-plane/tests/control_plane/config_authority.rs
+++ b/crates/control-plane/tests/control_plane/config_authority.rs
@@ -30,7 +30,7 @@
     rows: BTreeMap<String, Vec<u8>>,
     /// Requested writes that are not committed, oldest first.
     pending_writes: Vec<Vec<RowChange>>,
-    /// Responses with the id of their request, in order.
+    /// Responses with the ID of their request, in order.
     responses: Vec<(u64, ChangeResponse)>,
     /// Versions that came into force, in order.
     activated: Vec<u64>,
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Endpoint {
     member: usize,
-    /// Id of the connection at that member.
+    /// ID of the connection at that member.
     connection: ConnectionId,
 }
 
@@ -55,7 +55,7 @@
     partitioned: BTreeSet<usize>,
     responses: HashMap<OperatorCallId, OperatorResponse>,
     now_ms: u64,
-    /// The last id that was assigned; all kinds of ids share one sequence.
+    /// The last ID that was assigned; all kinds of IDs share one sequence.
     last_id: u64,
 }
 
@@ -148,7 +148,7 @@
         node.poll_outputs(resume_ms)
     }
 
-    /// Sends an operator request to a member; returns the id under which [`Self::response`] finds the response.
+    /// Sends an operator request to a member; returns the ID under which [`Self::response`] finds the response.
     pub(crate) fn call(&mut self, member: usize, request: OperatorRequest) -> OperatorCallId {
         let call = OperatorCallId(self.next_id());
         self.input(member, Input::Operator { call, request });
--- a/crates/control-plane/tests/control_plane/test_head.rs
+++ b/crates/control-plane/tests/control_plane/test_head.rs
@@ -18,7 +18,7 @@
 use indigofold_scheduler::{AgentId, Bounds, CallerId, Event};
 use std::collections::BTreeMap;
 
-/// Id of the only job that tests submit.
+/// ID of the only job that tests submit.
 pub(crate) const JOB: JobId = JobId(0xaa);
 /// Node agent of the worker of [`TestHead::with_worker`].
 pub(crate) const FIRST_AGENT: AgentId = AgentId(7);
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -195,7 +195,7 @@
         self.receive(TOOL, Frame::Inspect(InspectionCall { call, question }));
     }
 
-    /// Clears the outputs, and returns the responses to the operator among them, with the ids of their requests.
+    /// Clears the outputs, and returns the responses to the operator among them, with the IDs of their requests.
     pub(crate) fn take_responses(&mut self) -> Vec<(u64, OperatorResponse)> {
         let responses = self.outputs.drain(..).filter_map(|output| match output {
             Output::Respond { call, response } => Some((call.0, response)),
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -74,7 +74,7 @@
         self.campaign_at_ms
     }
 
-    /// Returns true if the present phase of the campaign has timed out.
+    /// Returns true if the current phase of the campaign has timed out.
     pub(super) fn is_timed_out(&self, now_ms: u64) -> bool {
         let campaign = self.campaign.as_ref();
         campaign.is_some_and(|campaign| campaign.is_timed_out(now_ms))
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Sends the request of the present phase to all voters to which it has not been sent yet.
+    /// Sends the request of the current phase to all voters to which it has not been sent yet.
     fn send_requests(&mut self, context: &mut Context) {
         let (viewstamp, headed_view) = (context.record.viewstamp, context.headed_view());
         let campaign = self.campaign.as_mut();
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -62,7 +62,7 @@
     promises: BTreeMap<Member, Promised>,
     /// When a majority of promises was reached; `None` before.
     majority_ms: Option<u64>,
-    /// When the present phase times out.
+    /// When the current phase times out.
     deadline_ms: u64,
     /// Change to the view; `None` for a candidate that is not the head.
     plan: Option<Plan>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sets when the present phase times out.
+    /// Sets when the current phase times out.
     pub(super) fn set_deadline(&mut self, deadline_ms: u64) {
         self.deadline_ms = deadline_ms;
     }
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Sends a message once the present record is on disk.
+    /// Sends a message once the current record is on disk.
     pub(super) fn send_once_stored(&mut self, to: Member, message: Message) {
         self.stores.request_store_then(AfterStore::Send {
             to: to.internal,
--- a/crates/replication/src/replica/head/leadership.rs
+++ b/crates/replication/src/replica/head/leadership.rs
@@ -172,7 +172,7 @@
         self.heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
     }
 
-    /// Returns for how long the head has led its present view.
+    /// Returns for how long the head has led its current view.
     pub(super) fn view_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.view_since_ms)
     }
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -37,7 +37,7 @@
 }
 
 impl Planner<'_> {
-    /// Returns voters and chain of the next view; `None` if the present view needs no change.
+    /// Returns voters and chain of the next view; `None` if the current view needs no change.
     pub(super) fn plan(&self) -> Option<Plan> {
         let view = self.leadership.view();
         let voters = self.planned_voters();
@@ -170,7 +170,7 @@
             && !peer.report().draining
     }
 
-    /// Returns the present chain without the members that delay it, and with those that have caught up.
+    /// Returns the current chain without the members that delay it, and with those that have caught up.
     fn planned_chain(&self, voters: &[Member]) -> Vec<Member> {
         let chain = self.leadership.view().chain.iter().copied();
         let (delaying, mut planned): (Vec<Member>, Vec<Member>) = chain
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Starts the change to a new view under this head if the present one should change.
+    /// Starts the change to a new view under this head if the current one should change.
     fn reconfigure(&mut self) {
         let context = &self.context;
         if context.is_draining() || context.stores.is_failing() {
--- a/crates/replication/src/replica/transfers/state_transfer.rs
+++ b/crates/replication/src/replica/transfers/state_transfer.rs
@@ -37,7 +37,7 @@
     source: Member,
     request_id: u64,
     purpose: Purpose,
-    /// Whether all present rows are dropped first, as stated by the first chunk.
+    /// Whether all current rows are dropped first, as stated by the first chunk.
     clear: bool,
     rows: Vec<Row>,
     /// Sequence number after which the next chunk continues; `None` until the first chunk has arrived.
@@ -77,7 +77,7 @@
         matches!(self.purpose, Purpose::Candidate { .. })
     }
 
-    /// Returns when the present request is repeated.
+    /// Returns when the current request is repeated.
     pub(super) fn due_ms(&self) -> u64 {
         self.requested_ms + FETCH_RETRY_MS
     }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -35,7 +35,7 @@
 /// A database that cannot be used and has been moved aside.
 #[derive(Debug)]
 pub struct Quarantined {
-    /// Present path of the database file.
+    /// Current path of the database file.
     pub path: PathBuf,
     /// Reason why the database cannot be used, for the log.
     pub reason: String,
--- a/crates/replication/tests/model/elections.rs
+++ b/crates/replication/tests/model/elections.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the possible voters of the next view: the present ones and, for the head of an established view, those
+    /// Returns the possible voters of the next view: the current ones and, for the head of an established view, those
     /// with one change.
     fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
         let member = &state.members[usize::from(candidate)];
--- a/crates/scheduler/src/backlog_cache.rs
+++ b/crates/scheduler/src/backlog_cache.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     backlog_ms: u64,
-    /// When the estimate was made, on the steady clock.
+    /// When the estimate was made, on the monotonic clock.
     estimated_ms: u64,
 }
 
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Determines the answer to a call by its route, operation and job id.
+    /// Determines the answer to a call by its route, operation and job ID.
     fn answer(&self, cluster: &mut Cluster, call: ClientCall) -> Answer {
         let Some(config) = &self.config else {
             return Answer::immediate(ClientOutcome::Unavailable {
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,21 +1,21 @@
-//! Time of day derived from the steady clock, so that a step of the system time does not move due times.
+//! Wall-clock time derived from the monotonic clock, so that a step of the system time does not move due times.
 
 /// A change of the offset between the clocks up to this counts as drift and is adopted at once.
 const DRIFT_MS: i64 = 100;
 /// A larger change of the offset is adopted once the new offset has been stable for this time.
 const STABLE_MS: u64 = 15_000;
 
-/// Time of the present event on the steady clock and as the time of day.
+/// Time of the current event: reading of the monotonic clock and wall-clock time.
 #[derive(Debug)]
 pub(crate) struct Clock {
-    /// Latest reading of the steady clock.
+    /// Latest reading of the monotonic clock.
     now_ms: u64,
     wall: WallClock,
 }
 
 impl Clock {
-    /// Creates a clock from two readings taken at the same moment: `now_ms` of the steady clock, and `wall_ms`, the
-    /// time of day in milliseconds since 1970.
+    /// Creates a clock from two readings taken at the same moment: `now_ms` of the monotonic clock, and `wall_ms`, the
+    /// Unix time in milliseconds.
     pub(crate) fn new(now_ms: u64, wall_ms: u64) -> Self {
         Clock {
             now_ms,
@@ -23,43 +23,43 @@
         }
     }
 
-    /// Advances to the readings of both clocks at a new event. The steady time never goes back.
+    /// Advances to the readings of both clocks at a new event. Monotonic time never goes back.
     pub(crate) fn advance(&mut self, now_ms: u64, wall_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
         self.wall.observe(now_ms, wall_ms);
     }
 
-    /// Time of the present event on the steady clock.
+    /// Time of the current event on the monotonic clock.
     pub(crate) fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Time of the present event as the time of day, in milliseconds since 1970.
+    /// Time of the current event, as Unix time in milliseconds.
     pub(crate) fn wall_ms(&self) -> u64 {
         self.wall.wall_ms(self.now_ms)
     }
 
-    /// Converts a time of day to a reading of the steady clock; negative for times before that clock's zero.
+    /// Converts a wall-clock time to a reading of the monotonic clock; negative for times before that clock's zero.
     pub(crate) fn steady_ms(&self, wall_ms: u64) -> i64 {
         self.wall.steady_ms(wall_ms)
     }
 
-    /// Time since this reading of the steady clock, in milliseconds; 0 if it is in the future.
+    /// Time since this reading of the monotonic clock, in milliseconds; 0 if it is in the future.
     pub(crate) fn since_ms(&self, steady_ms: i64) -> u64 {
         (self.now_ms as i64).saturating_sub(steady_ms).max(0) as u64
     }
 }
 
-/// Maps readings of the steady clock to the time of day.
+/// Maps readings of the monotonic clock to the wall-clock time.
 #[derive(Debug)]
 struct WallClock {
-    /// Time of day minus the steady clock's reading.
+    /// Wall-clock time minus the monotonic clock's reading.
     offset_ms: i64,
     /// Differing offset that is adopted once it has been stable.
     candidate: Option<OffsetCandidate>,
 }
 
-/// A differing offset, and since when it has been observed, on the steady clock.
+/// A differing offset, and since when it has been observed, on the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 struct OffsetCandidate {
     offset_ms: i64,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Converts a reading of the steady clock to the time of day.
+    /// Converts a reading of the monotonic clock to the wall-clock time.
     fn wall_ms(&self, now_ms: u64) -> u64 {
         (now_ms as i64).saturating_add(self.offset_ms).max(0) as u64
     }
 
-    /// Converts a time of day to a reading of the steady clock; negative for times before that clock's zero.
+    /// Converts a wall-clock time to a reading of the monotonic clock; negative for times before that clock's zero.
     fn steady_ms(&self, wall_ms: u64) -> i64 {
         (wall_ms.min(i64::MAX as u64) as i64).saturating_sub(self.offset_ms)
     }
--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -38,7 +38,7 @@
 }
 
 impl Cluster {
-    /// Creates a cluster without jobs and workers. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// Creates a cluster without jobs and workers. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in
     /// milliseconds.
     pub(crate) fn new(bounds: Bounds, now_ms: u64, wall_ms: u64) -> Self {
         Cluster {
--- a/crates/scheduler/src/cluster_view.rs
+++ b/crates/scheduler/src/cluster_view.rs
@@ -11,7 +11,7 @@
 /// The state of the cluster at the time of the current event.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterView<'a> {
-    /// Time of the current event on the steady clock.
+    /// Time of the current event on the monotonic clock.
     pub now_ms: u64,
     /// Limits from the settings.
     pub bounds: &'a Bounds,
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -32,7 +32,7 @@
     streak: f64,
     /// Exponential moving average of the logarithm of the slowdown (run time divided by expected run time).
     log_slowdown: f64,
-    /// When the decay was last applied to the weights, on the steady clock.
+    /// When the decay was last applied to the weights, on the monotonic clock.
     updated_ms: u64,
     /// `None` while the worker is healthy.
     suspected: Option<Suspicion>,
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A job by its id; `None` if it is unknown or was removed after its end.
+    /// A job by its ID; `None` if it is unknown or was removed after its end.
     pub(crate) fn get(&self, id: &JobId) -> Option<&Job> {
         self.by_id.get(id)
     }
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -52,14 +52,14 @@
     failed_on: Vec<WorkerId>,
     /// The newest write that contains a change of the job.
     last_write: WriteId,
-    /// When the job's rows were last written, on the steady clock.
+    /// When the job's rows were last written, on the monotonic clock.
     written_ms: u64,
 }
 
 /// A run that has not ended, and its worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutstandingRun {
-    /// The run's id.
+    /// The run's ID.
     pub run: RunId,
     /// The worker on which it is placed.
     pub worker: WorkerId,
@@ -167,7 +167,7 @@
         self.last_write
     }
 
-    /// When the job's rows were last written, on the steady clock.
+    /// When the job's rows were last written, on the monotonic clock.
     pub(crate) fn written_ms(&self) -> u64 {
         self.written_ms
     }
@@ -193,7 +193,7 @@
         self.terms = terms;
     }
 
-    /// Opens the next repetition, which was due at `due_ms` of the steady clock; returns its number.
+    /// Opens the next repetition, which was due at `due_ms` of the monotonic clock; returns its number.
     pub(crate) fn open_repeat(&mut self, due_ms: i64) -> u32 {
         let number = self.next_repeat;
         self.next_repeat += 1;
@@ -224,7 +224,7 @@
         steps.map(|step| step.open_tasks() as u64).sum()
     }
 
-    /// Steps of the job that are in the queue of its service; `id` is the job's id.
+    /// Steps of the job that are in the queue of its service; `id` is the job's ID.
     pub(crate) fn queued_steps(&self, id: JobId) -> Vec<StepRef> {
         let steps = self.repeats.iter().flat_map(|(&repeat, state)| {
             let steps = state.steps().iter().zip(0u32..);
@@ -357,7 +357,7 @@
         Repetition::new(due_ms, self.steps().iter().map(fresh).collect())
     }
 
-    /// All runs of the job that have not ended, with their workers; `id` is the job's id.
+    /// All runs of the job that have not ended, with their workers; `id` is the job's ID.
     pub(crate) fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
--- a/crates/scheduler/src/jobs/job/prospects.rs
+++ b/crates/scheduler/src/jobs/job/prospects.rs
@@ -16,7 +16,7 @@
 /// Whether a step can still meet the latency target of its job, and by when it has to start for that.
 struct StepProspect {
     prospect: Prospect,
-    /// Latest start for the latency target to be met, on the steady clock.
+    /// Latest start for the latency target to be met, on the monotonic clock.
     latest_start_ms: i64,
 }
 
--- a/crates/scheduler/src/jobs/late_ends.rs
+++ b/crates/scheduler/src/jobs/late_ends.rs
@@ -7,7 +7,7 @@
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::TaskName;
 
-/// The breakdown of a repetition that is opened now but was due at `due_ms` of the steady clock: the time since then
+/// The breakdown of a repetition that is opened now but was due at `due_ms` of the monotonic clock: the time since then
 /// counts as spent under the previous head.
 pub(super) fn latency_before_opening(due_ms: i64, clock: &Clock) -> LatencyBreakdown {
     let mut latency = LatencyBreakdown::default();
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Opens the next repetition, which was due at `due_ms` of the steady clock.
+    /// Opens the next repetition, which was due at `due_ms` of the monotonic clock.
     fn open_repeat(&mut self, id: JobId, due_ms: i64, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&id) else {
             return;
--- a/crates/scheduler/src/jobs/repetition.rs
+++ b/crates/scheduler/src/jobs/repetition.rs
@@ -5,18 +5,18 @@
 /// A repetition of a job that is due and has not ended.
 #[derive(Debug)]
 pub(crate) struct Repetition {
-    /// When the repetition was due, on the steady clock; negative if that was before the clock's zero.
+    /// When the repetition was due, on the monotonic clock; negative if that was before the clock's zero.
     due_ms: i64,
     steps: Vec<StepState>,
 }
 
 impl Repetition {
-    /// Creates a repetition with these steps; `due_ms` is on the steady clock.
+    /// Creates a repetition with these steps; `due_ms` is on the monotonic clock.
     pub(crate) fn new(due_ms: i64, steps: Vec<StepState>) -> Self {
         Repetition { due_ms, steps }
     }
 
-    /// When the repetition was due, on the steady clock; negative if that was before the clock's zero.
+    /// When the repetition was due, on the monotonic clock; negative if that was before the clock's zero.
     pub(crate) fn due_ms(&self) -> i64 {
         self.due_ms
     }
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/run.rs
@@ -34,11 +34,11 @@
 pub(crate) struct StopOrder {
     /// Connection on which it was last sent; `None` if the worker could not be reached.
     pub sent_to: Option<AgentId>,
-    /// When it was last sent, on the steady clock.
+    /// When it was last sent, on the monotonic clock.
     pub sent_ms: u64,
 }
 
-/// A run that has not ended. All times are on the steady clock.
+/// A run that has not ended. All times are on the monotonic clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     attempt: u32,
--- a/crates/scheduler/src/jobs/runs.rs
+++ b/crates/scheduler/src/jobs/runs.rs
@@ -12,7 +12,7 @@
 use indigofold_protocol::worker::RunEnd;
 
 impl Jobs {
-    /// A run by its id; `None` if it has ended or is unknown.
+    /// A run by its ID; `None` if it has ended or is unknown.
     pub(crate) fn run(&self, run: &RunId) -> Option<&Run> {
         let task = self.get(&run.task.job)?.task(&run.task)?;
         task.runs()
--- a/crates/scheduler/src/jobs/step.rs
+++ b/crates/scheduler/src/jobs/step.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// The state of one step of a repetition. All times are on the steady clock.
+/// The state of one step of a repetition. All times are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(crate) struct StepState {
     tasks: Vec<Task>,
--- a/crates/scheduler/src/jobs/task.rs
+++ b/crates/scheduler/src/jobs/task.rs
@@ -22,7 +22,7 @@
     speculative_run: Option<Run>,
     /// Worker that the next run avoids: a run of the task failed, hung or was too slow there.
     failed_on: Option<WorkerId>,
-    /// When the task last began to wait for placement, on the steady clock.
+    /// When the task last began to wait for placement, on the monotonic clock.
     waiting_since_ms: u64,
     /// Latency breakdown since the step was ready.
     latency: LatencyBreakdown,
--- a/crates/scheduler/src/jobs/tests/builder.rs
+++ b/crates/scheduler/src/jobs/tests/builder.rs
@@ -9,7 +9,7 @@
 use indigofold_protocol::job::{JobSpec, JobState, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 
-/// Id of the only job of these tests.
+/// ID of the only job of these tests.
 pub(super) const JOB: JobId = JobId(7);
 /// Number of failures of one task that fails its job.
 pub(super) const MAX_RETRIES: u32 = 3;
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -84,7 +84,7 @@
 /// A worker that was sampled for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SampledWorker {
-    /// Id of the worker instance.
+    /// ID of the worker instance.
     pub instance: String,
     /// Number of outstanding runs on the instance.
     pub runs: usize,
@@ -101,7 +101,7 @@
     pub probabilities: Vec<f64>,
     /// Workers sampled of the winner's kind, including the winner; all of them are suitable.
     pub sampled: Vec<SampledWorker>,
-    /// Id of the selected worker instance.
+    /// ID of the selected worker instance.
     pub winner: String,
     /// Rule by which the winner was selected.
     pub reason: Reason,
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -74,7 +74,7 @@
 /// A job, or one of its repetitions, that ended after its latency target or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateEnd {
-    /// Id of the job.
+    /// ID of the job.
     pub job: JobId,
     /// Number of the repetition, from 0.
     pub repeat: u32,
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -18,7 +18,7 @@
 /// Forecast of the capacity for the tasks of a step that start together.
 #[derive(Clone, Debug)]
 pub(crate) struct Outlook {
-    /// When the capacity for all tasks is expected to be free, on the steady clock.
+    /// When the capacity for all tasks is expected to be free, on the monotonic clock.
     pub free_ms: u64,
     /// Number of tasks for which each worker provides capacity.
     pub tasks: FxHashMap<WorkerId, u32>,
@@ -27,7 +27,7 @@
 /// Expected capacity for one task on a worker; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
-    /// When the capacity is expected to be free, on the steady clock.
+    /// When the capacity is expected to be free, on the monotonic clock.
     free_ms: u64,
     worker: WorkerId,
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct Placer {
     rng: Pcg64Mcg,
-    /// No task is placed before this time of the steady clock. After a take-over the node agents reconnect one by one,
+    /// No task is placed before this time of the monotonic clock. After a takeover the node agents reconnect one by one,
     /// and tasks placed at once would pile up on the workers that are back first.
     start_ms: u64,
     /// Placements since the last call of [`take_traces`](Self::take_traces); `None` while tracing is off.
@@ -61,7 +61,7 @@
 }
 
 impl Placer {
-    /// Creates a placer with this seed that places tasks from `start_ms` of the steady clock on.
+    /// Creates a placer with this seed that places tasks from `start_ms` of the monotonic clock on.
     pub(crate) fn new(seed: u64, start_ms: u64) -> Self {
         Placer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Postpones all placements to this time of the steady clock.
+    /// Postpones all placements to this time of the monotonic clock.
     pub(crate) fn wait_until(&mut self, start_ms: u64) {
         self.start_ms = start_ms;
     }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -6,7 +6,7 @@
 /// Identifies a step of one repetition of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct StepRef {
-    /// Id of the job.
+    /// ID of the job.
     pub job: JobId,
     /// Number of the repetition, from 0.
     pub repeat: u32,
@@ -58,7 +58,7 @@
     pub cost_class: i16,
     /// Whether the latency target can still be met.
     pub prospect: Prospect,
-    /// Latest start that meets the job's latency target, in milliseconds of the steady clock.
+    /// Latest start that meets the job's latency target, in milliseconds of the monotonic clock.
     pub latest_start_ms: i64,
     /// The step itself.
     pub step_ref: StepRef,
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -17,12 +17,12 @@
 /// A stop order is sent again if the run has not ended after this time.
 const STOP_RETRY_MS: u64 = 1_000;
 
-/// Answer to a report of a node agent that has no worker instance at present.
+/// Answer to a report of a node agent that currently has no worker instance.
 #[derive(Debug)]
 pub(crate) struct AnswerWithoutInstance {
     /// Connection of the node agent.
     pub agent: AgentId,
-    /// Id of the instance that the scheduler knows on that machine and whose report it expects; empty for none.
+    /// ID of the instance that the scheduler knows on that machine and whose report it expects; empty for none.
     pub instance: String,
     /// When the answered report was sent, on the agent's clock.
     pub sent_ms: u64,
@@ -31,7 +31,7 @@
 /// Processes the reports of node agents, and keeps the answers to agents that have no worker instance.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    /// Answers of the present event to node agents without a worker instance.
+    /// Answers of the current event to node agents without a worker instance.
     answers: Vec<AnswerWithoutInstance>,
 }
 
@@ -69,13 +69,13 @@
         cluster.outbox_mut().orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
-    /// Takes the answers of the present event to node agents without a worker instance.
+    /// Takes the answers of the current event to node agents without a worker instance.
     pub(crate) fn take_answers(&mut self) -> Vec<AnswerWithoutInstance> {
         std::mem::take(&mut self.answers)
     }
 }
 
-/// Handles a report without a worker instance: detaches the connection, and returns the id of the instance known on
+/// Handles a report without a worker instance: detaches the connection, and returns the ID of the instance known on
 /// that machine, empty for none. The answer extends the agent's authority to grant run leases, so all instances known
 /// there are marked as answered.
 fn expected_instance(cluster: &mut Cluster, agent: AgentId, node_name: &str) -> String {
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -18,7 +18,7 @@
     pub priority: u32,
     /// Capacity of the worker that is reserved.
     pub resources: Resources,
-    /// When the capacity for the step is expected to be free, on the steady clock.
+    /// When the capacity for the step is expected to be free, on the monotonic clock.
     pub free_ms: u64,
     /// Other steps that have waited for this time may use the worker despite the reservation; `u64::MAX` for never.
     pub patience_ms: u64,
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -72,7 +72,7 @@
     end: Option<JobEnd>,
     /// Number of the first repetition that has not been opened.
     next_repeat: u32,
-    /// Ids of the worker instances that the runs refer to by index.
+    /// IDs of the worker instances that the runs refer to by index.
     instances: Vec<String>,
     repeats: Vec<RepetitionRow>,
     /// Speculative runs. They are encoded after the rest of the row, and only if there are any, so that rows without them
@@ -290,7 +290,7 @@
     }
 
     /// Restores the job to the state in which its rows were written. Instances that are missing in `workers` are registered
-    /// there. `due_ms` returns the reading of the steady clock at which a repetition of the job was due.
+    /// there. `due_ms` returns the reading of the monotonic clock at which a repetition of the job was due.
     pub(crate) fn restore(
         self,
         workers: &mut Workers,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -31,7 +31,7 @@
     calls: ClientCalls,
     reports: Reports,
     placer: Placer,
-    /// When the next [`tick`](Self::tick) is due, on the steady clock.
+    /// When the next [`tick`](Self::tick) is due, on the monotonic clock.
     next_tick_ms: u64,
     solve_timer: Periodic,
     check_timer: Periodic,
@@ -40,7 +40,7 @@
 
 impl Scheduler {
     /// Creates a scheduler without jobs. `epoch` is the number of the view whose head runs it, and the fencing token of its
-    /// orders. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in milliseconds.
+    /// orders. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in milliseconds.
     pub fn new(bounds: Bounds, epoch: Epoch, seed: u64, now_ms: u64, wall_ms: u64) -> Self {
         Scheduler {
             epoch,
@@ -88,7 +88,7 @@
         self.placer.take_traces()
     }
 
-    /// When [`Event::Timer`] is due, on the steady clock; always later than the last event.
+    /// When [`Event::Timer`] is due, on the monotonic clock; always later than the last event.
     pub fn next_timer_ms(&self) -> u64 {
         let clock = self.cluster.clock();
         let due_wall_ms = self.cluster.jobs().next_repetition_wall_ms();
@@ -104,7 +104,7 @@
             .max(clock.now_ms() + 1)
     }
 
-    /// Handles an event and appends the effects. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// Handles an event and appends the effects. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in
     /// milliseconds.
     pub fn handle(&mut self, now_ms: u64, wall_ms: u64, event: Event, effects: &mut Vec<Effect>) {
         self.cluster.advance_clock(now_ms, wall_ms);
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -111,7 +111,7 @@
         (self.regroup, self.dirty) = (true, true);
     }
 
-    /// When the next pass is due, on the steady clock; `None` if none was requested.
+    /// When the next pass is due, on the monotonic clock; `None` if none was requested.
     pub(crate) fn next_pass_ms(&self) -> Option<u64> {
         (self.dirty || self.regroup).then_some(self.next_pass_ms)
     }
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -1,6 +1,6 @@
 //! Timer for work that is repeated periodically.
 
-/// Periodic timer on the steady clock.
+/// Periodic timer on the monotonic clock.
 #[derive(Debug)]
 pub(crate) struct Periodic {
     period_ms: u64,
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -32,7 +32,7 @@
     /// Service that the instance belongs to; empty until its first report.
     backend: String,
     state: WorkerState,
-    /// When the instance ends, on the steady clock; `None` unless it is draining.
+    /// When the instance ends, on the monotonic clock; `None` unless it is draining.
     drain_end_ms: Option<u64>,
     capacity: Resources,
     labels: Vec<String>,
@@ -42,7 +42,7 @@
     used_bound: Resources,
     /// Tasks with an outstanding run on this instance.
     runs: BTreeSet<TaskName>,
-    /// Whether a report that lists all running tasks was received on the present connection.
+    /// Whether a report that lists all running tasks was received on the current connection.
     full_report_received: bool,
     /// Time of the node agent's latest report; before that, when the instance was entered.
     last_report_ms: u64,
@@ -67,7 +67,7 @@
 }
 
 impl Worker {
-    /// Creates an instance that has not been reported yet. `now_ms` is the time of the steady clock, as in all methods.
+    /// Creates an instance that has not been reported yet. `now_ms` is the time of the monotonic clock, as in all methods.
     pub(crate) fn new(instance: String, now_ms: u64) -> Self {
         Worker {
             instance,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Id of the instance, as its node agent reports it.
+    /// ID of the instance, as its node agent reports it.
     pub(crate) fn instance(&self) -> &str {
         &self.instance
     }
@@ -116,7 +116,7 @@
         self.state
     }
 
-    /// When the instance ends, on the steady clock; `None` unless it is draining.
+    /// When the instance ends, on the monotonic clock; `None` unless it is draining.
     pub(crate) fn drain_end_ms(&self) -> Option<u64> {
         self.drain_end_ms
     }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Workers {
     instances: BTreeMap<WorkerId, Worker>,
-    /// Instances by id.
+    /// Instances by ID.
     by_instance: FxHashMap<String, WorkerId>,
     /// Instances by the name of their machine.
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
@@ -71,7 +71,7 @@
         self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
-    /// Returns the number of the instance with this id; adds the instance if it is new.
+    /// Returns the number of the instance with this ID; adds the instance if it is new.
     pub(crate) fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
@@ -84,7 +84,7 @@
         id
     }
 
-    /// Returns the number of the instance with this id, if it is known.
+    /// Returns the number of the instance with this ID, if it is known.
     pub(crate) fn find(&self, instance: &str) -> Option<WorkerId> {
         self.by_instance.get(instance).copied()
     }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Records that the connection reports no instance at present.
+    /// Records that the connection currently reports no instance.
     pub(crate) fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
--- a/crates/scheduler/tests/checkpoints.rs
+++ b/crates/scheduler/tests/checkpoints.rs
@@ -7,7 +7,7 @@
 use indigofold_protocol::job::{JobState, Step};
 use indigofold_protocol::task::JobId;
 
-/// Progress that the present runs resumed from, in half seconds; 0 for a run that began from scratch.
+/// Progress that the current runs resumed from, in half seconds; 0 for a run that began from scratch.
 fn resumed_half_seconds(cluster: &Cluster) -> Vec<u64> {
     let runs = cluster
         .nodes
--- a/crates/scheduler/tests/clock.rs
+++ b/crates/scheduler/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Due times follow the steady clock: a step of the time of day does not move them.
+//! Due times follow the monotonic clock: a step of the wall-clock time does not move them.
 
 mod cluster;
 
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -22,7 +22,7 @@
 
 pub(crate) use setup::*;
 
-/// Time of day at zero of the steady clock, in milliseconds since 1970.
+/// Wall-clock time at zero of the monotonic clock, as Unix time in milliseconds.
 pub(crate) const WALL_MS: u64 = 1_700_000_000_000;
 /// Time from a write to its commit.
 const COMMIT_MS: u64 = 12;
@@ -127,7 +127,7 @@
     pub writes_made: u64,
     /// Work lost by stops, in core-milliseconds.
     pub stopped_core_ms: f64,
-    /// Offset of the scheduler's time of day from the true one.
+    /// Offset of the scheduler's wall-clock time from the true one.
     pub clock_step_ms: i64,
     /// Whether it is checked that no job stays idle, see [`idle_jobs`].
     pub checks_idle: bool,
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Nodes and ids of all present runs of the same gang attempt, including `run`.
+    /// Nodes and IDs of all current runs of the same gang attempt, including `run`.
     pub(super) fn gang_members(&self, run: RunId) -> Vec<(usize, RunId)> {
         let same = |other: &RunId| {
             other.attempt == run.attempt
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -125,7 +125,7 @@
     );
 }
 
-/// Id of the instance on which the task runs; `nodes` must include its node.
+/// ID of the instance on which the task runs; `nodes` must include its node.
 fn instance_of_task(cluster: &Cluster, nodes: &[usize], task: u32) -> String {
     let has_run = |node: &&usize| {
         let mut runs = cluster.nodes[**node].running.keys();
@@ -181,7 +181,7 @@
     assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
-/// Submitting the same id again is accepted but does not start the job again, whether it is running or has ended.
+/// Submitting the same ID again is accepted but does not start the job again, whether it is running or has ended.
 #[test]
 fn submission_is_idempotent() {
     let mut cluster = Cluster::started(6);
