--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -29,7 +29,7 @@
 use crate::sessions::Sessions;
 use announcement::Announcement;
 use head_role::HeadRole;
-use indigofold_replication::{Durable, Replica};
+use indigofold_replication::{MemberRecord, Replica};
 use indigofold_scheduler::Event;
 use inspections::Inspections;
 use replica_inputs::ReplicaInputs;
@@ -53,8 +53,8 @@
 }
 
 impl CoreMember {
-    /// Creates a member from the record on its disk; `durable` is `None` if the disk holds no record.
-    pub fn new(settings: CoreMemberSettings, durable: Option<Durable>, clocks: Clocks) -> Self {
+    /// Creates a member from the record on its disk; `record` is `None` if the disk holds no record.
+    pub fn new(settings: CoreMemberSettings, record: Option<MemberRecord>, clocks: Clocks) -> Self {
         let replica_settings = indigofold_replication::Settings {
             address: settings.address.clone(),
             seeds: settings.seeds.clone(),
@@ -63,7 +63,7 @@
             random_seed: settings.random_seed,
         };
         CoreMember {
-            replica: Replica::new(replica_settings, durable, clocks.steady_ms),
+            replica: Replica::new(replica_settings, record, clocks.steady_ms),
             replica_inputs: ReplicaInputs::default(),
             head_role: HeadRole::default(),
             sessions: Sessions::default(),
@@ -116,7 +116,7 @@
             .extend(dials.into_iter().map(|address| Output::Dial { address }));
     }
 
-    /// Returns when [`Self::handle_timeout`] is due, on the steady clock in milliseconds. Any input may change the result.
+    /// Returns when [`Self::handle_timeout`] is due, on the monotonic clock in milliseconds. Any input may change the result.
     pub fn next_timeout_ms(&self, clocks: Clocks) -> u64 {
         let timers = [
             self.replica.next_timer_ms(),
@@ -129,8 +129,8 @@
             .fold(self.head_role.load_due_ms(), u64::min)
     }
 
-    /// Returns the actions for all inputs since the last call. `now_ms` must be a fresh reading of the steady clock: if the
-    /// lease has expired since the inputs were handled, outputs that only an acting head may send are withheld.
+    /// Returns the actions for all inputs since the last call. `now_ms` must be a fresh reading of the monotonic clock: if
+    /// the lease has expired since the inputs were handled, outputs that only an acting head may send are withheld.
     pub fn poll_outputs(&mut self, now_ms: u64) -> Vec<Output> {
         self.refresh_announcement(now_ms);
         let outputs = std::mem::take(&mut self.outputs);
@@ -168,7 +168,8 @@
         self.head_role.leading().is_some() && self.replica.may_act(now_ms)
     }
 
-    /// Returns when the scheduler's timer is due, on the steady clock; [`u64::MAX`] while this member is not the acting head.
+    /// Returns when the scheduler's timer is due, on the monotonic clock; [`u64::MAX`] while this member is not the
+    /// acting head.
     fn scheduler_timer_ms(&self, clocks: Clocks) -> u64 {
         match self.head_role.leading() {
             Some(head) if self.replica.may_act(clocks.steady_ms) => head.next_timer_ms(),
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -66,7 +66,7 @@
     fn start_in(directory: TempDir, seeds: &[u8]) -> TestNode {
         let opened = Storage::open(directory.path()).expect("the database can be opened");
         TestNode {
-            node: CoreMember::new(settings(seeds), opened.durable, clocks(START_MS)),
+            node: CoreMember::new(settings(seeds), opened.record, clocks(START_MS)),
             storage: opened.storage,
             directory,
             now_ms: START_MS,
@@ -195,7 +195,7 @@
         self.receive(TOOL, Frame::Inspect(InspectionCall { call, question }));
     }
 
-    /// Clears the outputs, and returns the responses to the operator among them, with the ids of their requests.
+    /// Clears the outputs, and returns the responses to the operator among them, with the IDs of their requests.
     pub(crate) fn take_responses(&mut self) -> Vec<(u64, OperatorResponse)> {
         let responses = self.outputs.drain(..).filter_map(|output| match output {
             Output::Respond { call, response } => Some((call.0, response)),
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -5,7 +5,7 @@
 use indigofold_ctl::replicas::{Replica, WriteHistory, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
-    Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewNumber,
+    Batch, Member, MemberRecord, RowChange, Storage, StoreOperation, StoreRequest, ViewNumber,
     ViewStart, Viewstamp,
 };
 use rstest::rstest;
@@ -49,7 +49,7 @@
         }))
     });
     let internal = ([10, 0, 0, 1], 7380).into();
-    let durable = Durable {
+    let record = MemberRecord {
         member: Member { internal, disk: 0 },
         promised: ViewNumber(1),
         view: None,
@@ -70,7 +70,7 @@
         .storage;
     storage
         .apply(&StoreRequest {
-            durable,
+            record,
             operations: operations.collect(),
         })
         .expect("the writes can be stored");
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,7 +1,7 @@
 //! The replicated control state of the core machines: a table of rows, kept by chain replication.
 //!
 //! [`Replica`] is a state machine that does no I/O: its driver passes in [`Input`]s with the time of the monotonic
-//! clock and carries out the [`Output`]s that it returns. [`Storage`] keeps one member's rows and its [`Durable`]
+//! clock and carries out the [`Output`]s that it returns. [`Storage`] keeps one member's rows and its [`MemberRecord`]
 //! record in `SQLite`; the driver runs it on a separate thread.
 //!
 //! Writes follow chain replication (van Renesse and Schneider, OSDI 2004). A *view* defines the voters and the chain,
@@ -19,7 +19,7 @@
 //!
 //! The driver has these duties:
 //!
-//! 1. `Storage::open(dir)`, then `Replica::new(settings, opened.durable, now_ms)`.
+//! 1. `Storage::open(dir)`, then `Replica::new(settings, opened.record, now_ms)`.
 //! 2. For each event: `replica.handle(now_ms, input)`. At `replica.next_timer_ms()`, pass in [`Input::Timer`].
 //! 3. [`Output::Send`]: send `message::encode(&envelope)` in a frame to the member at that internal address. Messages
 //!    may be lost when a connection breaks: the protocol repeats what is needed, so the driver does not resend. Decode
@@ -37,7 +37,7 @@
 pub mod timing;
 pub mod types;
 
-pub use durable::{Durable, StoreOperation, StoreRequest};
+pub use durable::{MemberRecord, StoreOperation, StoreRequest};
 pub use message::{Envelope, Message};
 pub use replica::{Input, Output, Replica, Settings};
 pub use storage::{Opened, Storage, StorageError};
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -8,7 +8,7 @@
     self, Fetch, Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Rows, Write,
 };
 use indigofold_replication::{
-    Batch, Durable, Envelope, Member, Message, Row, RowChange, Storage, StoreRequest, View,
+    Batch, Envelope, Member, MemberRecord, Message, Row, RowChange, Storage, StoreRequest, View,
     ViewNumber, ViewStart, Viewstamp,
 };
 use std::collections::BTreeMap;
@@ -77,8 +77,8 @@
 }
 
 /// Returns the record in the fixture.
-fn record() -> Durable {
-    Durable {
+fn record() -> MemberRecord {
+    MemberRecord {
         member: member(2),
         promised: ViewNumber(301),
         view: Some(view()),
@@ -324,7 +324,7 @@
     let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
     assert!(!opened.has_quarantined);
-    assert_eq!(opened.durable, Some(record()));
+    assert_eq!(opened.record, Some(record()));
     let chunk = opened
         .storage
         .rows_since(0, usize::MAX)
@@ -378,7 +378,7 @@
         .expect("the database can be opened")
         .storage;
     let request = StoreRequest {
-        durable: record(),
+        record: record(),
         operations: Vec::new(),
     };
     storage.apply(&request).expect("the request can be stored");
--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -38,7 +38,7 @@
 }
 
 impl Cluster {
-    /// Creates a cluster without jobs and workers. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// Creates a cluster without jobs and workers. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in
     /// milliseconds.
     pub(crate) fn new(bounds: Bounds, now_ms: u64, wall_ms: u64) -> Self {
         Cluster {
@@ -181,7 +181,7 @@
     /// Solves problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers, for all services.
     pub(crate) fn solve_kind_probabilities(&mut self) {
         for service in self.services.iter_mut() {
-            service.kinds_mut().resolve(&self.workers);
+            service.kinds_mut().update_probabilities(&self.workers);
         }
     }
 
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -123,7 +123,10 @@
 
     /// Sets the position of a step in the queue; returns the former one if it differs.
     pub(crate) fn reposition(&mut self, key: QueueKey) -> Option<QueueKey> {
-        let state = self.by_id.get_mut(&key.at.job)?.step_state_mut(key.at)?;
+        let state = self
+            .by_id
+            .get_mut(&key.step_ref.job)?
+            .step_state_mut(key.step_ref)?;
         state.enter_queue(key).filter(|before| *before != key)
     }
 
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Opens the next repetition, which was due at `due_ms` of the steady clock.
+    /// Opens the next repetition, which was due at `due_ms` of the monotonic clock.
     fn open_repeat(&mut self, id: JobId, due_ms: i64, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&id) else {
             return;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -31,7 +31,7 @@
     calls: ClientCalls,
     reports: Reports,
     placer: Placer,
-    /// When the next [`tick`](Self::tick) is due, on the steady clock.
+    /// When the next [`tick`](Self::tick) is due, on the monotonic clock.
     next_tick_ms: u64,
     solve_timer: Periodic,
     check_timer: Periodic,
@@ -40,7 +40,7 @@
 
 impl Scheduler {
     /// Creates a scheduler without jobs. `epoch` is the number of the view whose head runs it, and the fencing token of its
-    /// orders. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in milliseconds.
+    /// orders. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in milliseconds.
     pub fn new(bounds: Bounds, epoch: Epoch, seed: u64, now_ms: u64, wall_ms: u64) -> Self {
         Scheduler {
             epoch,
@@ -56,11 +56,11 @@
     }
 
     /// Whether a row of the control state belongs to the scheduler.
-    pub fn is_row(key: &[u8]) -> bool {
+    pub fn owns_row(key: &[u8]) -> bool {
         RowKey::parse(key).is_some() || parse_instance_key(key).is_some()
     }
 
-    /// Restores the state that a previous head has written. `rows` are all rows whose keys [`is_row`](Self::is_row)
+    /// Restores the state that a previous head has written. `rows` are all rows whose keys [`owns_row`](Self::owns_row)
     /// accepts. Must be called once, before the first event.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
 
     /// Starts recording how workers are selected; [`take_traces`](Self::take_traces) returns the records.
     pub fn trace_placements(&mut self) {
-        self.placer.follow();
+        self.placer.start_tracing();
     }
 
     /// Returns the placements recorded since the last call; empty unless [`trace_placements`](Self::trace_placements) was
@@ -88,7 +88,7 @@
         self.placer.take_traces()
     }
 
-    /// When [`Event::Timer`] is due, on the steady clock; always later than the last event.
+    /// When [`Event::Timer`] is due, on the monotonic clock; always later than the last event.
     pub fn next_timer_ms(&self) -> u64 {
         let clock = self.cluster.clock();
         let due_wall_ms = self.cluster.jobs().next_repetition_wall_ms();
@@ -104,7 +104,7 @@
             .max(clock.now_ms() + 1)
     }
 
-    /// Handles an event and appends the effects. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// Handles an event and appends the effects. `now_ms` is a reading of the monotonic clock, `wall_ms` the Unix time in
     /// milliseconds.
     pub fn handle(&mut self, now_ms: u64, wall_ms: u64, event: Event, effects: &mut Vec<Effect>) {
         self.cluster.advance_clock(now_ms, wall_ms);
@@ -119,7 +119,7 @@
         self.release_deferred(effects);
         self.send_orders(effects);
         let late = self.cluster.take_late_ends().into_iter();
-        effects.extend(late.map(|end| Effect::Late(Box::new(end))));
+        effects.extend(late.map(|end| Effect::LateEnd(Box::new(end))));
     }
 
     /// Passes an event to the component that handles it.
@@ -131,9 +131,9 @@
             Event::CallerDisconnected(caller) => cluster.outbox_mut().drop_replies_to(caller),
             Event::Committed(write) => cluster.outbox_mut().commit(write),
             Event::AgentConnected { agent, node_name } => {
-                cluster.workers_mut().connected(agent, node_name);
+                cluster.workers_mut().add_connection(agent, node_name);
             }
-            Event::AgentDisconnected(agent) => cluster.workers_mut().disconnected(agent),
+            Event::AgentDisconnected(agent) => cluster.workers_mut().remove_connection(agent),
             Event::Report { agent, report } => self.reports.handle(cluster, agent, report),
             Event::Timer => {}
         }
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -87,7 +87,7 @@
     /// Removes a step from the queue and releases its reservations.
     pub(crate) fn dequeue(&mut self, key: &QueueKey) {
         self.queue.remove(key);
-        self.reservations.release(key.at);
+        self.reservations.release(key.step_ref);
     }
 
     /// Changes the position of a step in the queue from `before` to `key`.
@@ -111,7 +111,7 @@
         (self.regroup, self.dirty) = (true, true);
     }
 
-    /// When the next pass is due, on the steady clock; `None` if none was requested.
+    /// When the next pass is due, on the monotonic clock; `None` if none was requested.
     pub(crate) fn next_pass_ms(&self) -> Option<u64> {
         (self.dirty || self.regroup).then_some(self.next_pass_ms)
     }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Workers {
     instances: BTreeMap<WorkerId, Worker>,
-    /// Instances by id.
+    /// Instances by ID.
     by_instance: FxHashMap<String, WorkerId>,
     /// Instances by the name of their machine.
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
@@ -71,7 +71,7 @@
         self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
-    /// Returns the number of the instance with this id; adds the instance if it is new.
+    /// Returns the number of the instance with this ID; adds the instance if it is new.
     pub(crate) fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
@@ -84,7 +84,7 @@
         id
     }
 
-    /// Returns the number of the instance with this id, if it is known.
+    /// Returns the number of the instance with this ID, if it is known.
     pub(crate) fn find(&self, instance: &str) -> Option<WorkerId> {
         self.by_instance.get(instance).copied()
     }
@@ -129,9 +129,9 @@
     }
 
     /// Adds the connection of a node agent; it replaces an older connection of the same machine.
-    pub(crate) fn connected(&mut self, agent: AgentId, node_name: String) {
+    pub(crate) fn add_connection(&mut self, agent: AgentId, node_name: String) {
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
-            self.disconnected(older);
+            self.remove_connection(older);
         }
         self.connections.insert(
             agent,
@@ -143,7 +143,7 @@
     }
 
     /// Removes a connection that has closed.
-    pub(crate) fn disconnected(&mut self, agent: AgentId) {
+    pub(crate) fn remove_connection(&mut self, agent: AgentId) {
         let Some(connection) = self.connections.remove(&agent) else {
             return;
         };
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Records that the connection reports no instance at present.
+    /// Records that the connection currently reports no instance.
     pub(crate) fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
