--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -1,4 +1,4 @@
-//! How fast each format is decoded, and a whole import: `cargo bench -p indigofold-traffic`.
+//! Throughput of decoding each format and of whole imports: `cargo bench -p indigofold-traffic`.
 
 use divan::counter::{BytesCount, ItemsCount};
 use divan::{Bencher, black_box};
@@ -71,7 +71,7 @@
     }
 }
 
-/// Lines to records: what the format alone costs.
+/// Decodes lines into records, without mapping them.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json"])]
 fn decode(bencher: Bencher<'_, '_>, name: &str) {
     let (text, format) = (text(name), log_format(name));
@@ -86,7 +86,7 @@
         });
 }
 
-/// A HAR document to records.
+/// Decodes a HAR document into records.
 #[divan::bench]
 fn decode_har(bencher: Bencher<'_, '_>) {
     let text = text("har");
@@ -107,7 +107,7 @@
         });
 }
 
-/// Records to what they mean.
+/// Maps decoded records to jobs.
 #[divan::bench]
 fn map_record(bencher: Bencher<'_, '_>) {
     let (text, format) = (text("combined"), log_format("combined"));
@@ -125,7 +125,7 @@
     });
 }
 
-/// The whole way from a file to a recording that is not kept.
+/// Imports a whole file; the recording is discarded.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json", "har"])]
 fn full_import(bencher: Bencher<'_, '_>, name: &str) {
     let text = text(name);
--- a/crates/traffic/src/access_log.rs
+++ b/crates/traffic/src/access_log.rs
@@ -1,4 +1,4 @@
-//! One line of an access log to one [`RawRecord`], by a format that was compiled once.
+//! Decodes each line of an access log into a [`RawRecord`], according to a format compiled beforehand.
 
 pub mod apache;
 pub mod envoy;
@@ -18,7 +18,7 @@
 pub const COMMON: &str = r#"%h %l %u %t "%r" %>s %b"#;
 /// The Combined Log Format.
 pub const COMBINED: &str = r#"%h %l %u %t "%r" %>s %b "%{Referer}i" "%{User-Agent}i""#;
-/// nginx's `combined`.
+/// The predefined `combined` format of nginx.
 pub const NGINX: &str = concat!(
     r#"$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "#,
     r#""$http_referer" "$http_user_agent""#
@@ -32,21 +32,21 @@
     r#""%REQ(X-REQUEST-ID)%" "%REQ(:AUTHORITY)%" "%UPSTREAM_HOST%""#
 );
 
-/// A format of lines.
+/// A compiled format of log lines.
 #[derive(Clone, Debug)]
 pub enum LogFormat {
-    /// Text of fields between literals.
+    /// Plain text: fields separated by literal text.
     Text(Template),
-    /// JSON objects, one a line.
+    /// One JSON object per line.
     Json(Box<json::Fields>),
 }
 
 impl LogFormat {
-    /// The format of this name: `common`, `combined`, `nginx` or `envoy`, or a format string as its server is given it,
-    /// behind `apache:`, `nginx:` or `envoy:`.
+    /// Returns the format of a name: `common`, `combined`, `nginx` or `envoy`, or `apache:`, `nginx:` or `envoy:` followed
+    /// by a format string in the syntax of that server's configuration.
     ///
     /// # Errors
-    /// What in the text is not a format, and what is allowed.
+    /// The name is unknown, or the format string is invalid.
     pub fn named(text: &str) -> Result<Self, FormatError> {
         let template = match text.split_once(':') {
             Some(("apache", format)) => apache::compile(format)?,
@@ -65,10 +65,10 @@
         Ok(LogFormat::Text(template))
     }
 
-    /// Reads one line, without its end.
+    /// Decodes one line, given without its line break.
     ///
     /// # Errors
-    /// Why it is none of this format.
+    /// The reason why the line does not match the format.
     pub fn read<'a>(
         &'a self,
         record: &'a str,
--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -7,13 +7,13 @@
 /// A compiled directive.
 enum Directive {
     Field(Field),
-    /// `%t` writes brackets around its time.
+    /// `%t`, which writes its time in brackets.
     BracketedTime,
     /// `%%`
     Percent,
 }
 
-/// The directive at the start of a text, and what follows it.
+/// A directive parsed from the start of a text.
 struct Parsed<'a> {
     directive: Directive,
     /// The time that it writes is that of the request's end.
@@ -21,10 +21,10 @@
     rest: &'a str,
 }
 
-/// Compiles a `LogFormat` string. Apache logs when a request began, unless the format says otherwise.
+/// Compiles a `LogFormat` string. Apache logs the start time of a request unless the format contains `%{end:...}t`.
 ///
 /// # Errors
-/// What in it is not understood.
+/// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let (mut builder, mut end) = (Builder::default(), false);
     let mut rest = format;
@@ -51,7 +51,7 @@
     builder.finish(Escapes::Backslash, end)
 }
 
-/// Adds the character that a backslash escapes, and hands back what follows it.
+/// Adds the character escaped by a backslash and returns the text after it.
 fn compile_escape<'a>(after: &'a str, builder: &mut Builder) -> Result<&'a str, FormatError> {
     let escaped = after.chars().next().ok_or(FormatError::TrailingBackslash)?;
     builder.literal(&match escaped {
@@ -62,7 +62,7 @@
     Ok(&after[escaped.len_utf8()..])
 }
 
-/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text behind a `%`.
+/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text after a `%`.
 fn parse_directive(after: &str) -> Result<Parsed<'_>, FormatError> {
     let body = after.trim_start_matches(|c: char| c == '!' || c == ',' || c.is_ascii_digit());
     let body = body.trim_start_matches(['<', '>']);
@@ -75,7 +75,7 @@
     };
     let body = body.trim_start_matches(['<', '>']);
     let directive = body.chars().next().ok_or(FormatError::EndsIn("'%'"))?;
-    // `%^ti` and `%^to` are trailers.
+    // `%^ti` and `%^to` log trailer fields, which are not used.
     if directive == '^' {
         return Ok(Parsed {
             directive: Directive::Field(Field::Skip),
@@ -100,7 +100,7 @@
     })
 }
 
-/// The field of `%{ARGUMENT}t`, and whether its time is that of the request's end.
+/// Returns the field of `%{ARGUMENT}t` and whether it is the time at which the request ended.
 fn time_field(argument: &str) -> (Field, bool) {
     let (end, pattern) = match argument.split_once(':') {
         Some(("begin", pattern)) => (false, pattern),
--- a/crates/traffic/src/access_log/envoy.rs
+++ b/crates/traffic/src/access_log/envoy.rs
@@ -4,10 +4,10 @@
 use super::template::{Builder, Escapes, Field, Template};
 use crate::timestamp::TimeFormat;
 
-/// Compiles a format string. `START_TIME` is when the request began.
+/// Compiles a format string. The logged time, `START_TIME`, is the start of the request.
 ///
 /// # Errors
-/// What in it is not understood.
+/// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let mut builder = Builder::default();
     let mut rest = format.trim_end_matches('\n');
@@ -19,7 +19,7 @@
             rest = behind;
             continue;
         }
-        // %NAME(ARGUMENT):LENGTH%, and the argument of a time holds '%' itself.
+        // The syntax is %NAME(ARGUMENT):LENGTH%. The argument of START_TIME may contain '%', so it is parsed first.
         let name_end = after
             .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
             .unwrap_or(after.len());
@@ -47,7 +47,7 @@
         ("START_TIME", None) => Field::Time(TimeFormat::Iso),
         ("START_TIME", Some("%s")) => Field::Time(TimeFormat::Seconds),
         ("START_TIME", Some("%s.%3f" | "%s.%6f" | "%s.%9f")) => Field::Time(TimeFormat::Seconds),
-        // Envoy writes a fraction as %3f, where the reader knows %.3f with the dot before it.
+        // Envoy writes the fraction of a second as `.%3f`; the time parser expects `%.3f`.
         ("START_TIME", Some(pattern)) => {
             let mut pattern = pattern.to_string();
             for digits in ["3", "6", "9"] {
--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -1,4 +1,4 @@
-//! JSON lines, by a map of fields.
+//! Decodes JSON lines according to a field map.
 
 use super::template::duration;
 use crate::job::Micros;
@@ -79,10 +79,10 @@
 }
 
 impl Fields {
-    /// Reads one record.
+    /// Decodes one record.
     ///
     /// # Errors
-    /// Why it cannot be read.
+    /// The reason why it is rejected.
     pub fn read<'a>(
         &self,
         record: &'a str,
@@ -142,7 +142,7 @@
 }
 
 impl Unit {
-    /// Microseconds in one of the unit.
+    /// Returns the length of the unit in microseconds.
     fn micros(self) -> Micros {
         match self {
             Unit::S => 1_000_000,
@@ -152,7 +152,7 @@
     }
 }
 
-/// The text, number or truth value at a JSON Pointer; `None`: there is none, or it is empty or `-`.
+/// Returns the string, number or boolean at a JSON Pointer as text; `None` if it is missing, empty, `-` or another type.
 fn text_at(value: &Value, pointer: &str) -> Option<String> {
     match value.pointer(pointer) {
         None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
--- a/crates/traffic/src/access_log/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -4,10 +4,10 @@
 use super::template::{Builder, Escapes, Field, Template};
 use crate::timestamp::TimeFormat;
 
-/// Compiles a `log_format` string. nginx logs a request, and reads the clock for it, when the request ends.
+/// Compiles a `log_format` string. nginx takes the logged time when the request ends.
 ///
 /// # Errors
-/// What in it is not understood.
+/// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let mut builder = Builder::default();
     let mut rest = format;
@@ -36,7 +36,7 @@
     builder.finish(Escapes::Backslash, true)
 }
 
-/// What a variable says. Modules add variables of their own: one that is not known is passed over.
+/// Returns the field of a variable. Unknown variables are skipped, because nginx modules can define their own.
 fn field(variable: &str) -> Field {
     match variable {
         "remote_addr" | "realip_remote_addr" => Field::Peer,
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -1,4 +1,4 @@
-//! Fields between literals: what Apache's, nginx's and Envoy's format strings all come down to.
+//! Log line templates: fields separated by literal text, the common form of Apache's, nginx's and Envoy's format strings.
 
 use super::error::FormatError;
 use crate::job::Micros;
@@ -11,17 +11,17 @@
 /// The meaning of a field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Field {
-    /// Nothing that is needed.
+    /// A field that is not used.
     Skip,
-    /// The address that is connected.
+    /// Address of the connected peer.
     Peer,
     /// The authenticated user.
     User,
-    /// A time.
+    /// The start or end time of the request.
     Time(TimeFormat),
-    /// The part of a second, in this many decimals, that goes with a time elsewhere in the line.
+    /// The fraction of a second, in this many digits, that belongs to a time elsewhere in the line.
     Fraction(u32),
-    /// Method, target and version.
+    /// The request line: method, target and version.
     Request,
     /// The method.
     Method,
@@ -29,22 +29,22 @@
     Target,
     /// The query alone.
     Query,
-    /// The status.
+    /// HTTP status.
     Status,
-    /// Bytes received.
+    /// Size of the request body in bytes.
     Received,
-    /// How long the request took, in units of so many microseconds, perhaps with decimals.
+    /// Duration of the request as a decimal number, in a unit of this many microseconds.
     Took(Micros),
-    /// A header, or `cookie.NAME`.
+    /// A request header by its name in lower case, or a cookie as `cookie.NAME`.
     Header(String),
 }
 
-/// How a server writes what would break its format.
+/// How a server escapes special characters in a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Escapes {
     /// `\"`, `\\`, `\n`, `\t`, `\xHH`.
     Backslash,
-    /// None: nothing is undone.
+    /// No escapes: values are taken as they are.
     None,
 }
 
@@ -63,7 +63,7 @@
     end: bool,
 }
 
-/// A template in the making.
+/// Builds a [`Template`] segment by segment.
 #[derive(Default)]
 pub struct Builder {
     segments: Vec<Segment>,
@@ -83,7 +83,7 @@
         self.segments.push(Segment::Field(field));
     }
 
-    /// The template.
+    /// Checks the segments and returns the template. `time_is_end`: the logged time is the end of the request.
     ///
     /// # Errors
     /// Two fields have no text between them; there is no time; there is no request.
@@ -123,13 +123,14 @@
     }
 }
 
-/// Where a field's value ends: before the next literal. Within quotes, escaped quotes are passed over.
+/// Returns the length of a field's value, which ends before the literal `next`. In a quoted value, escaped quotes do not
+/// end it.
 fn value_end(rest: &[u8], next: &[u8], quoted: bool, escapes: Escapes) -> Option<usize> {
     let first = *next.first()?;
     let mut at = 0;
     loop {
         let found = match next.len() {
-            // Literals are a few bytes: searching for the first byte alone is faster.
+            // Most literals are short; searching for the first byte alone is faster then.
             1..=8 => memchr(first, &rest[at..])?,
             _ => memmem::find(&rest[at..], next)?,
         } + at;
@@ -148,16 +149,16 @@
     }
 }
 
-/// A part of a second that a record holds beside its time.
+/// The fraction of a second that a record holds separately from its time.
 #[derive(Clone, Copy)]
 struct SecondFraction {
-    /// What it adds to the time.
+    /// Duration to add to the time.
     value: Micros,
-    /// How exactly it is known.
+    /// Unit of the last digit.
     resolution: Micros,
 }
 
-/// A record while its fields are read one after another.
+/// Collects the fields of a record while they are read one after another.
 #[derive(Default)]
 struct RecordBuilder<'a> {
     raw: RawRecord<'a>,
@@ -173,7 +174,7 @@
         self.raw
     }
 
-    /// Of two times in a record, the one of the finer resolution is kept.
+    /// Sets the time. Of two times in a record, the one with the finer resolution is kept.
     fn set_time(&mut self, time: RecordedTime) {
         if self
             .raw
@@ -198,7 +199,7 @@
         Ok(())
     }
 
-    /// A truncated or hostile request line is logged as the server received it.
+    /// Sets method and target. Servers log the request line as received, so it may be truncated or arbitrary bytes.
     fn set_request(&mut self, text: Cow<'a, str>) -> Result<(), Reason> {
         let request = match text {
             Cow::Borrowed(text) => parse_request_line(text).map(|(m, t)| (m.into(), t.into())),
@@ -226,7 +227,8 @@
         self.raw.odd_number |= self.raw.received.is_none();
     }
 
-    /// Of two durations in a record, the finer one is kept, whichever comes first.
+    /// Sets the duration. Of two durations in a record, the first is kept unless it is a whole number of seconds, because
+    /// the second may be more precise then.
     fn set_duration(&mut self, value: &str, unit: Micros) {
         let took = duration(value, unit);
         self.raw.odd_number |= took.is_none();
@@ -238,10 +240,10 @@
 }
 
 impl Template {
-    /// Reads one record.
+    /// Decodes one record.
     ///
     /// # Errors
-    /// Why it is none of this format.
+    /// The reason why it does not match the format.
     pub fn read<'a>(
         &'a self,
         record: &'a str,
@@ -325,7 +327,7 @@
         Ok(())
     }
 
-    /// A value with its escapes undone.
+    /// Resolves the escape sequences of a value. A result that is not UTF-8 is read as Latin-1.
     fn unescape<'a>(&self, value: &'a str) -> Cow<'a, str> {
         if self.escapes == Escapes::None || memchr(b'\\', value.as_bytes()).is_none() {
             return Cow::Borrowed(value);
@@ -362,7 +364,7 @@
     }
 }
 
-/// Method and target of `METHOD TARGET HTTP/1.1`; the version may be missing, as in HTTP/0.9.
+/// Splits a request line, `METHOD TARGET HTTP/1.1`, into method and target. The version may be missing, as in HTTP/0.9.
 fn parse_request_line(text: &str) -> Option<(&str, &str)> {
     let (method, rest) = text.split_once(' ')?;
     let target = rest
@@ -375,7 +377,8 @@
     (is_token && !target.is_empty()).then_some((method, target))
 }
 
-/// A duration in units of so many microseconds. nginx lists several, one for each upstream tried: their sum counts.
+/// Parses a duration in a unit of this many microseconds. nginx lists several durations, one for each upstream server
+/// tried; their sum is returned.
 pub fn duration(text: &str, unit: Micros) -> Option<Micros> {
     let one = |text: &str| {
         let value: f64 = text.trim().parse().ok()?;
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -1,45 +1,46 @@
-//! What a file most likely is, by its beginning.
+//! Detects the kind of a file from its beginning.
 
 use crate::access_log::{FormatError, LogFormat};
 use crate::recording::FORMAT;
 use crate::timestamp::Reader;
 use jiff::tz::TimeZone;
 
-/// What a file holds.
+/// The kind of an input file.
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// A HAR document.
     Har,
-    /// A recording of this project.
+    /// A recording, see [`crate::recording`].
     Recording,
-    /// An access log, one record a line.
+    /// An access log with one record per line.
     AccessLog(LogFormat),
 }
 
-/// Why the kind of a file is not known.
+/// Why the kind of a file cannot be detected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DetectError {
     /// JSON lines have no form of their own.
     #[error("these look like JSON lines: the mapping must say under 'json' where the fields stand")]
     JsonWithoutFields,
-    /// No known format fits.
+    /// No line matches a known format.
     #[error(
         "its form is none that is known by itself: name it with --format, as common, combined, nginx, envoy, json, har, \
          recording, or apache:FORMAT, nginx:FORMAT, envoy:FORMAT"
     )]
     Unknown,
-    /// A format that this program brings cannot be used.
+    /// A predefined format cannot be compiled.
     #[error(transparent)]
     Format(#[from] FormatError),
 }
 
-/// Records of which the format is tried.
+/// Maximum number of lines that are decoded to find the matching format.
 const MAX_SAMPLES: usize = 50;
 
-/// Guesses what a file is. JSON lines have no form of their own, and are taken only where their fields are known.
+/// Detects the kind of a file from its beginning, `head`. JSON lines have no standard fields, so they are recognised only
+/// with a field map, `json`. Among text formats, the one that decodes the most lines is chosen.
 ///
 /// # Errors
-/// The kind is not known; the text says what to do.
+/// The kind cannot be detected; the message tells the operator what to do.
 pub fn detect(
     head: &[u8],
     json: Option<&crate::access_log::json::Fields>,
--- a/crates/traffic/src/document.rs
+++ b/crates/traffic/src/document.rs
@@ -1,10 +1,10 @@
-//! Operators' JSON files, read against the schema that their type publishes.
+//! JSON files written by operators, validated against the JSON Schema of the type that they are parsed into.
 
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// The published schema of a kind of file.
+/// Returns the JSON Schema of files that are parsed into `T`.
 pub fn schema<T: JsonSchema>() -> Value {
     schemars::schema_for!(T).to_value()
 }
@@ -12,32 +12,32 @@
 /// Why a file cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error("the {what} is no JSON: {source}")]
     Json {
-        /// The kind of the file.
+        /// The kind of file, as named in error messages.
         what: String,
-        /// Where it fails.
+        /// The syntax error with its line and column.
         source: serde_json::Error,
     },
-    /// The type's own schema cannot be compiled.
+    /// The schema generated from the type cannot be compiled.
     #[error("{0}")]
     Schema(String),
     /// The file does not match its schema.
     #[error("{}", join_messages(.0))]
     Violations(Vec<Violation>),
-    /// The file matches its schema, and cannot be read all the same.
+    /// The file matches its schema, but deserialization fails.
     #[error(transparent)]
     Value(serde_json::Error),
 }
 
-/// Something in a file that its schema does not allow.
+/// A part of a file that does not match its schema.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("at {}: {message}", if pointer.is_empty() { "the top" } else { pointer })]
 pub struct Violation {
-    /// Its place in the document, as a JSON Pointer.
+    /// Location in the document as a JSON Pointer; empty at the top level.
     pub pointer: String,
-    /// What is wrong.
+    /// The validator's message.
     pub message: String,
 }
 
@@ -46,11 +46,11 @@
     messages.join("\n")
 }
 
-/// Reads a file: against its schema first, so that all that is wrong with its form is reported at once. `what` names the
-/// kind of file in errors.
+/// Parses a file. It is validated against its schema first, so that all violations are reported at once. `what` names the
+/// kind of file in error messages.
 ///
 /// # Errors
-/// Each thing that is wrong, with its place in the document.
+/// The text is not JSON, violates the schema (every violation is listed with its location), or cannot be deserialized.
 pub fn read<T: JsonSchema + DeserializeOwned>(what: &str, text: &str) -> Result<T, DocumentError> {
     let value: Value = serde_json::from_str(text).map_err(|source| DocumentError::Json {
         what: what.into(),
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -1,10 +1,12 @@
-//! Client retries become one job: by key, by marker, and, where there is neither, by which client sent what.
+//! Folding: assigns each client retry to the job of its first attempt, by idempotency key or request id, by the client's
+//! retry marker, or, if there is neither, by client and subject.
 //!
-//! Attempts come in the order in which they were made. A job stays open until no retry can belong to it any more; jobs come
-//! out in the order of their first attempts. [`Retry::confidence`] says how sure a fold is: by key or id, that two clients
-//! do not draw the same one. By marker and by guess several jobs may fit; how long clients wait before they come back is
-//! learned from those retries that fit one job alone, and the job whose wait is the likeliest is taken. A guess is also
-//! weighed against another job of that client about the same subject, whose rate is counted as the log goes on.
+//! Attempts arrive ordered by time. A job stays open while a retry can still belong to it; jobs are emitted in the order
+//! of their first attempts. [`Retry::confidence`] is the probability that the assignment is right. For a key or an id it
+//! is the probability that no other client uses the same value. For a marker or a guess, several jobs can be candidates:
+//! the distribution of client wait times is learned from retries that have a single candidate, and the candidate with the
+//! most likely wait is chosen. A guess is also weighed against the probability that the attempt is another job of the
+//! same client about the same subject, which is estimated from the rate of such jobs seen so far.
 
 mod open_jobs;
 mod waits;
@@ -17,47 +19,47 @@
 use smallvec::SmallVec;
 use waits::WaitHistogram;
 
-/// A retry of the same key or id begins so long after the last attempt's end, at the latest.
+/// Maximum time between the end of an attempt and a retry with the same key or id.
 const KEYED_RETRY_WINDOW: Micros = 15_000_000;
-/// A marked retry begins so long after the last attempt's end, at the latest.
+/// Maximum time between the end of an attempt and a retry with a retry marker.
 const MARKED_RETRY_WINDOW: Micros = 5_000_000;
-/// A job that was not served stays open for so long at least, where retries are guessed.
+/// Minimum time for which a failed job stays open if clients do not mark their retries.
 const MIN_GUESS_WINDOW: Micros = 2_500_000;
-/// A response and the retry that follows it may be logged in the wrong order by so much.
+/// Maximum time by which a retry may be logged before the end of the attempt that it follows.
 const REORDERING_TOLERANCE: Micros = 2_000;
-/// How long a client waits where nothing says it.
+/// Assumed client timeout if the job has no deadline.
 const DEFAULT_CLIENT_WAIT: Micros = 10_000_000;
-/// Beyond so many open jobs the oldest are closed; bounds the memory.
+/// Maximum number of open jobs; beyond it the oldest are closed. Bounds the memory.
 const MAX_OPEN_JOBS: usize = 100_000;
-/// Beyond so many clients and subjects their counts begin anew; bounds the memory.
+/// Maximum number of client and subject pairs counted; beyond it the counts restart at zero. Bounds the memory.
 const MAX_COUNTED_SUBJECTS: usize = 4 * MAX_OPEN_JOBS;
-/// How often an attempt that was not served is followed by a retry, as far as nothing else is known.
+/// Prior probability that a failed attempt is followed by a retry.
 const RETRY_PROBABILITY: f64 = 0.7;
-/// The shortest wait for which the probability of another job is reckoned.
+/// Lower bound of the wait used to compute the probability of an unrelated job.
 const MIN_GUESS_WAIT: Micros = 50_000;
-/// How sure two attempts with the same key belong together.
+/// Confidence that two attempts with the same key or id belong to one job.
 const KEY_CONFIDENCE: f32 = 0.999;
-/// A guess of less confidence is not made.
+/// Minimum confidence of a guess.
 const MIN_GUESS_CONFIDENCE: f32 = 0.5;
-/// The wait before a guessed retry is learned from beyond this confidence.
+/// The wait time before a guessed retry is added to the histogram only above this confidence.
 const LEARNING_CONFIDENCE: f32 = 0.95;
 
-/// How retries are known.
+/// How retries are recognised.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// A retry without key or marker begins so long after the end of the attempt before, at the latest; 0: none is guessed.
+    /// Maximum time between the end of an attempt and a retry without key or marker; 0: no retries are guessed.
     pub guess_within: Micros,
-    /// Attempts of one job, the first included.
+    /// Maximum number of attempts of one job, including the first.
     pub max_attempts: u32,
-    /// Clients keep the request id.
+    /// Whether clients send the same request id with their retries.
     pub id_kept: bool,
-    /// Clients mark their retries: what has no marker is no retry, unless its key says so.
+    /// Whether clients mark their retries; then an attempt without a marker is a retry only by its key or id.
     pub marks: bool,
 }
 
 /// The job that an attempt is a retry of.
 struct Match {
-    /// Its number among the open jobs.
+    /// Number of the job in [`OpenJobs`].
     number: u64,
     evidence: Evidence,
     confidence: f32,
@@ -68,26 +70,27 @@
 /// The likeliest of several jobs.
 struct Likeliest {
     number: u64,
-    /// Its probability among them.
+    /// Its probability relative to the other candidates, 0 to 1.
     probability: f32,
     /// There is no other.
     alone: bool,
 }
 
-/// Folds retries into jobs.
+/// Assigns attempts to jobs and emits each job with its retries.
 pub struct Folder {
     rules: Rules,
     open: OpenJobs,
-    /// Jobs by client and subject, since `counting_since`.
+    /// Number of first attempts since `counting_since`, by the hash of [`KeyKind::Subject`].
     jobs_of_subject: FxHashMap<u64, u32>,
+    /// Time of the first attempt, or of the last reset of `jobs_of_subject`.
     counting_since: Option<Micros>,
-    /// The latest time of an attempt.
+    /// Latest time of an attempt so far.
     now: Micros,
     waits: WaitHistogram,
 }
 
 impl Folder {
-    /// A folder by these rules.
+    /// Creates a folder without open jobs.
     pub fn new(rules: Rules) -> Self {
         Folder {
             rules,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Takes the next attempt and hands out the jobs that are closed by then.
+    /// Processes the next attempt and passes the jobs that are closed by its time to `out`.
     pub fn push(&mut self, attempt: Attempt, tally: &mut Tally, mut out: impl FnMut(Job)) {
         self.now = self.now.max(attempt.job.at);
         self.counting_since.get_or_insert(attempt.job.at);
@@ -125,7 +128,7 @@
         self.close_jobs(false, &mut out);
     }
 
-    /// Hands out the rest.
+    /// Closes all open jobs and passes them to `out`.
     pub fn finish(mut self, mut out: impl FnMut(Job)) {
         self.close_jobs(true, &mut out);
     }
@@ -174,14 +177,13 @@
     fn retry_window(&self, served: bool, keys: &MatchKeys) -> Micros {
         match (keys.has_exact(), served) {
             (true, _) => KEYED_RETRY_WINDOW,
-            // Its response may have been logged as sent and not have come.
             (false, true) => 0,
             (false, false) if self.rules.marks => MARKED_RETRY_WINDOW,
             (false, false) => self.rules.guess_within.max(MIN_GUESS_WINDOW),
         }
     }
 
-    /// The job that an attempt is a retry of; `None`: it is a first attempt.
+    /// Finds the job that an attempt is a retry of; `None`: it is a first attempt.
     fn find_job(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         if let Some(found) = self.find_by_key(attempt, keys) {
             return Some(found);
@@ -192,7 +194,7 @@
         self.guess(attempt, keys)
     }
 
-    /// By the same key or id, whatever became of the attempts before.
+    /// Finds a job with the same key or id, whether or not its earlier attempts succeeded.
     fn find_by_key(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         let number = [KeyKind::Idempotency, KeyKind::RequestId]
             .into_iter()
@@ -210,7 +212,7 @@
         })
     }
 
-    /// By the client's marker: of its failed jobs about the same subject, or else about any.
+    /// Finds the job of a marked retry among the client's failed jobs about the same subject, or else about any subject.
     fn find_by_marker(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         for (kind, learn) in [(KeyKind::Subject, true), (KeyKind::Client, false)] {
             let fitting = self.failed_jobs(attempt, keys, kind, MARKED_RETRY_WINDOW);
@@ -226,7 +228,7 @@
         None
     }
 
-    /// By a failed job of the same client about the same subject.
+    /// Guesses the job of an attempt without key or marker among the client's failed jobs about the same subject.
     fn guess(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         let within = self.rules.guess_within;
         if within == 0 || attempt.job.key.is_some() || self.rules.marks {
@@ -244,12 +246,13 @@
         })
     }
 
-    /// May the job get one more attempt?
+    /// Returns true if the job has fewer than the maximum number of attempts.
     fn may_retry(&self, open: &OpenJob) -> bool {
         (open.job.retries.len() as u32) + 1 < self.rules.max_attempts
     }
 
-    /// Jobs of a shared key that were not served, and ended before this attempt began, as far as that is known.
+    /// Returns the failed jobs that share a key of this kind with an attempt and whose last attempt ended at most
+    /// `window` before it, as far as the resolution of the times can tell.
     fn failed_jobs(
         &self,
         attempt: &Attempt,
@@ -260,7 +263,7 @@
         let at = attempt.job.at;
         let fits = |open: &OpenJob| {
             let tolerance = open.resolution + attempt.resolution + REORDERING_TOLERANCE;
-            // Equal keys have been found before.
+            // Two different keys: equal ones are matched by `find_by_key` before.
             let other_key = open.job.key.is_some() && attempt.job.key.is_some();
             !open.served
                 && !other_key
@@ -289,7 +292,8 @@
         })
     }
 
-    /// How likely an attempt so long after a failed one is its retry, and not another job about the same subject.
+    /// Returns the probability that an attempt made `wait` after the end of a failed one is its retry and not another job
+    /// of the same client about the same subject.
     fn retry_probability(&self, subject: u64, wait: Micros) -> f32 {
         let counted_for = (self.now - self.counting_since.unwrap_or(self.now)).max(1) as f64;
         let jobs = self.jobs_of_subject.get(&subject).copied().unwrap_or(1);
@@ -298,7 +302,7 @@
         (RETRY_PROBABILITY / (RETRY_PROBABILITY + by_chance)) as f32
     }
 
-    /// Hands out the jobs that can get no retry any more, or all.
+    /// Passes the jobs that can get no more retries to `out`, oldest first; every open job if `all` is set.
     fn close_jobs(&mut self, all: bool, out: &mut impl FnMut(Job)) {
         while let Some(oldest) = self.open.oldest() {
             if !all && oldest.closes >= self.now && self.open.len() <= MAX_OPEN_JOBS {
@@ -312,7 +316,7 @@
     }
 }
 
-/// When an attempt ended whose client waits for `deadline`.
+/// Returns when an attempt ended: exactly if its duration is known, or else between its start and the client's timeout.
 fn end_of(attempt: &Job, deadline: Option<Micros>) -> EndTime {
     match attempt.took {
         Some(took) => EndTime {
--- a/crates/traffic/src/fold/open_jobs.rs
+++ b/crates/traffic/src/fold/open_jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs that may still get a retry, by the order of their first attempts and by what a retry shares with them.
+//! Jobs that may still get a retry, indexed by the order of their first attempts and by the keys that retries share with
+//! them.
 
 use crate::job::{Job, Micros};
 use rustc_hash::{FxHashMap, FxHasher};
@@ -6,12 +7,12 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// What an attempt may share with the job that it is a retry of.
+/// A kind of key that an attempt may share with the job that it is a retry of.
 #[derive(Clone, Copy)]
 pub(super) enum KeyKind {
     /// Class and idempotency key.
     Idempotency = 0,
-    /// The request id.
+    /// Request id.
     RequestId = 1,
     /// Client, class, parish and subject.
     Subject = 2,
@@ -19,12 +20,12 @@
     Client = 3,
 }
 
-/// Hashes of an attempt, by [`KeyKind`]; `None`: it has nothing of the kind.
+/// Hashes of an attempt's keys, indexed by [`KeyKind`]; `None`: the attempt has no key of this kind.
 #[derive(Clone, Copy)]
 pub(super) struct MatchKeys([Option<u64>; 4]);
 
 impl MatchKeys {
-    /// The keys of an attempt whose request has this id, where clients keep ids.
+    /// Computes the keys of an attempt. `request_id` is `None` unless clients keep the id over retries.
     pub(super) fn new(job: &Job, request_id: Option<u64>) -> Self {
         MatchKeys([
             job.key.as_ref().map(|key| hash((&job.class, key))),
@@ -40,7 +41,7 @@
         self.0[kind as usize]
     }
 
-    /// Is there an idempotency key or a request id, so that a retry is known for certain?
+    /// Returns true if there is an idempotency key or a request id, so that a retry can be matched without guessing.
     pub(super) fn has_exact(&self) -> bool {
         self.get(KeyKind::Idempotency)
             .or(self.get(KeyKind::RequestId))
@@ -54,20 +55,20 @@
     hasher.finish()
 }
 
-/// When an attempt ended. Logs without durations leave much time between the two.
+/// Bounds of the time at which an attempt ended; they are equal if its duration was recorded.
 #[derive(Clone, Copy)]
 pub(super) struct EndTime {
-    /// It had ended, or its client had stopped waiting, no earlier than this.
+    /// Earliest time at which the attempt ended or its client timed out.
     pub earliest: Micros,
-    /// ... and no later than this.
+    /// Latest time at which the attempt ended or its client timed out.
     pub latest: Micros,
 }
 
-/// A job that may still get a retry. All but the job and its keys speak of its last attempt.
+/// A job that may still get a retry. The fields other than `job` and `keys` describe its last attempt so far.
 pub(super) struct OpenJob {
     pub job: Job,
     pub end: EndTime,
-    /// How exactly the end is known.
+    /// Resolution of its timestamp.
     pub resolution: Micros,
     pub served: bool,
     /// The last time at which a retry can begin.
@@ -79,9 +80,9 @@
 #[derive(Default)]
 pub(super) struct OpenJobs {
     jobs: VecDeque<OpenJob>,
-    /// Number of the first in `jobs`.
+    /// Number of the first entry of `jobs`.
     first: u64,
-    /// Numbers by each kind of key; the newest last.
+    /// Job numbers by key hash, for each kind of key; the newest job last.
     by_key: [FxHashMap<u64, SmallVec<[u64; 2]>>; 4],
 }
 
@@ -94,17 +95,17 @@
         self.jobs.front()
     }
 
-    /// The job of a number that [`Self::matching`] gave.
+    /// Returns the open job of a number from [`Self::matching`].
     pub(super) fn get(&self, number: u64) -> &OpenJob {
         &self.jobs[(number - self.first) as usize]
     }
 
-    /// The same, to be changed.
+    /// Mutable variant of [`Self::get`].
     pub(super) fn get_mut(&mut self, number: u64) -> &mut OpenJob {
         &mut self.jobs[(number - self.first) as usize]
     }
 
-    /// Numbers of the jobs that share a key of this kind, the newest first.
+    /// Returns the numbers of the jobs that share a key of this kind, newest first.
     pub(super) fn matching(
         &self,
         keys: &MatchKeys,
@@ -126,7 +127,7 @@
         self.jobs.push_back(open);
     }
 
-    /// Takes out the oldest.
+    /// Removes the oldest job.
     pub(super) fn pop_oldest(&mut self) -> Option<Job> {
         let open = self.jobs.pop_front()?;
         for (by_key, key) in self.by_key.iter_mut().zip(open.keys.0) {
--- a/crates/traffic/src/har.rs
+++ b/crates/traffic/src/har.rs
@@ -1,7 +1,7 @@
-//! HAR 1.2: the entries of a document that may be far larger than memory, one after another.
+//! HAR 1.2: reads the entries of a document one by one, so that it may be far larger than memory.
 //!
-//! [`Splitter`] takes the document in chunks, finds the array `log.entries` and hands out each element's text; [`read`]
-//! decodes one.
+//! [`Splitter`] receives the document in chunks, finds the array `log.entries` and emits the text of each element;
+//! [`read`] decodes one.
 
 mod array_finder;
 mod entry;
--- a/crates/traffic/src/har/array_finder.rs
+++ b/crates/traffic/src/har/array_finder.rs
@@ -1,25 +1,25 @@
-//! The way to the array `log.entries` of a HAR document.
+//! Finds the array `log.entries` of a HAR document.
 
-/// What is kept of a key: enough to distinguish `log` and `entries` from others.
+/// Number of bytes kept of a key: enough to distinguish `log` and `entries` from other keys.
 const MAX_KEY_BYTES: usize = 16;
 
 /// Finds the `[` of `log.entries`, byte by byte.
 #[derive(Debug, Default)]
 pub(super) struct ArrayFinder {
-    /// Open brackets.
+    /// Number of open brackets.
     depth: u32,
-    /// In a string.
+    /// Whether the current byte is inside a string.
     quoted: bool,
-    /// Behind a backslash in a string.
+    /// Whether the previous byte is a backslash that escapes the current one.
     escaped: bool,
-    /// Keys of the open objects at depth 1 and 2.
+    /// Current keys of the open objects at depths 1 and 2.
     keys: [Vec<u8>; 2],
-    /// The last string; the `:` behind it says whether it is a key.
+    /// The last string; it is a key if a `:` follows.
     text: Vec<u8>,
 }
 
 impl ArrayFinder {
-    /// Takes a byte. `true`: it is the bracket.
+    /// Processes a byte. Returns true if it is the `[` of `log.entries`.
     pub(super) fn push(&mut self, byte: u8) -> bool {
         if self.quoted {
             self.push_quoted(byte);
--- a/crates/traffic/src/har/entry.rs
+++ b/crates/traffic/src/har/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of a HAR document to one record.
+//! Decodes an entry of a HAR document into a record.
 
 use crate::job::Micros;
 use crate::raw::{HeaderField, RawRecord};
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Durations from here on, in milliseconds, are taken for errors.
+/// Durations of this many milliseconds or more are treated as unknown.
 const MAX_DURATION_MS: f64 = 1e9;
 
 #[derive(Deserialize)]
@@ -17,7 +17,7 @@
     time: Option<f64>,
     request: Option<Request>,
     response: Option<Response>,
-    /// The client; some tools write it, though the standard has no field for it.
+    /// Address of the client. HAR 1.2 has no field for it, but some tools write one.
     #[serde(alias = "_clientIPAddress", alias = "clientIPAddress")]
     client: Option<String>,
 }
@@ -47,10 +47,11 @@
     value: String,
 }
 
-/// Reads one entry. In one of an aborted session the time is -1 and the status 0: it was sent, and has no response.
+/// Decodes one entry. An entry of an aborted request has the time -1 and the status 0: the request was sent, but has no
+/// response.
 ///
 /// # Errors
-/// Why it cannot be read.
+/// The reason why it is rejected.
 pub fn read(text: &[u8], timestamps: &mut Reader) -> Result<RawRecord<'static>, Reason> {
     let entry: Entry = serde_json::from_slice(text).map_err(|_| Reason::Malformed)?;
     let time = start_time(entry.started_date_time, timestamps)?;
@@ -66,7 +67,7 @@
         method: request.method.map(Cow::Owned),
         target: Some(Cow::Owned(url)),
         status,
-        // Without a response there is no telling how long it would have taken.
+        // Without a response, the recorded time is not a response time.
         took: status.and(duration(entry.time)),
         received: request
             .body_size
@@ -101,7 +102,7 @@
         .map(|ms| (ms * 1000.0).round() as Micros)
 }
 
-/// Headers by their names in lower case, then cookies as `cookie.NAME`.
+/// Returns the headers with their names in lower case, then the cookies as `cookie.NAME`.
 fn headers(headers: Vec<Pair>, cookies: Vec<Pair>) -> Vec<HeaderField<'static>> {
     let headers = headers
         .into_iter()
--- a/crates/traffic/src/har/entry_scanner.rs
+++ b/crates/traffic/src/har/entry_scanner.rs
@@ -1,37 +1,39 @@
-//! The text of one entry, with long strings truncated so that memory is bounded whatever the document holds.
+//! Collects the text of one entry, truncating long strings so that memory is bounded for any document.
 
 use memchr::memchr2;
 
-/// What is kept of a string in an entry, in bytes.
+/// Strings in an entry are truncated after this many bytes.
 const MAX_TEXT_BYTES: usize = 8 * 1024;
-/// The longest entry once its strings are truncated.
+/// Maximum length of an entry in bytes, after its strings are truncated.
 pub const MAX_ENTRY_BYTES: usize = 1 << 20;
-/// The deepest nesting of brackets in an entry.
+/// Maximum nesting of brackets in an entry.
 const MAX_DEPTH: u32 = 64;
-/// Memory that is kept from one entry to the next.
+/// Buffer capacity that is kept from one entry to the next.
 const KEPT_CAPACITY_BYTES: usize = 64 * 1024;
 
-/// Collects an entry, byte by byte.
+/// Collects the text of an entry.
 #[derive(Debug, Default)]
 pub(super) struct EntryScanner {
-    /// Open brackets.
+    /// Number of open brackets.
     depth: u32,
-    /// In a string.
+    /// Whether the current byte is inside a string.
     quoted: bool,
-    /// Behind a backslash in a string.
+    /// Whether the previous byte is a backslash that escapes the current one.
     escaped: bool,
-    /// Digits of a `\u` escape still to come.
+    /// Number of hexadecimal digits of a `\u` escape still expected.
     hex: u8,
-    /// The rest of this string is left out.
+    /// Whether the rest of the current string is dropped.
     truncated: bool,
-    /// Bytes of this string so far.
+    /// Number of bytes of the current string so far.
     text_bytes: usize,
+    /// Text of the entry so far.
     entry: Vec<u8>,
+    /// Whether the entry is too long or nested too deep.
     too_long: bool,
 }
 
 impl EntryScanner {
-    /// Begins an entry with its `{`.
+    /// Starts a new entry, whose `{` was read.
     pub(super) fn begin(&mut self) {
         (self.depth, self.quoted, self.escaped) = (1, false, false);
         self.too_long = false;
@@ -39,24 +41,25 @@
         self.entry.push(b'{');
     }
 
-    /// The entry so far.
+    /// Returns the text of the entry so far.
     pub(super) fn text(&self) -> &[u8] {
         &self.entry
     }
 
-    /// Is it too long or nested too deep, so that its text is not complete?
+    /// Returns true if the entry is too long or nested too deep, so that its text is not complete.
     pub(super) fn is_too_long(&self) -> bool {
         self.too_long
     }
 
-    /// Gives back memory that a long entry took.
+    /// Clears the entry and releases the memory of a long one.
     pub(super) fn clear(&mut self) {
         self.entry.clear();
         self.entry.shrink_to(KEPT_CAPACITY_BYTES);
     }
 
-    /// Takes the plain bytes of a string up to the next quote or backslash, as far as the limits of string and entry
-    /// allow, and returns how many: most of a document is such bytes. [`Self::push`] takes the others.
+    /// Appends the plain bytes of a string up to the next quote or backslash, as far as the limits of string and entry
+    /// allow, and returns their number. This is the fast path, as most of a document consists of such bytes;
+    /// [`Self::push`] processes the others.
     pub(super) fn push_plain(&mut self, bytes: &[u8]) -> usize {
         if !self.quoted || self.escaped || self.hex > 0 || self.truncated {
             return 0;
@@ -71,7 +74,7 @@
         plain
     }
 
-    /// Takes a byte. `true`: it ends the entry.
+    /// Processes a byte. Returns true if it ends the entry.
     pub(super) fn push(&mut self, byte: u8) -> bool {
         let keep = match self.quoted {
             true => self.push_quoted(byte),
@@ -86,12 +89,12 @@
         self.depth == 0
     }
 
-    /// Takes a byte of a string. `true`: it is kept.
+    /// Processes a byte of a string. Returns true if it is kept.
     fn push_quoted(&mut self, byte: u8) -> bool {
         self.text_bytes += 1;
         let ends = byte == b'"' && !self.escaped && self.hex == 0;
-        // Truncated before a plain character only: never within one of several bytes, an escape, or the two escapes of
-        // one character.
+        // Truncates only before a plain character: never within a multi-byte character, an escape, or the two escapes of
+        // a surrogate pair.
         let plain = !self.escaped && self.hex == 0 && byte != b'\\' && byte & 0xc0 != 0x80;
         self.truncated |= self.text_bytes > MAX_TEXT_BYTES && plain;
         self.hex = match byte {
@@ -103,7 +106,7 @@
         ends || !self.truncated
     }
 
-    /// Takes a byte outside strings. `true`: it is kept.
+    /// Processes a byte outside strings. Returns true if it is kept; whitespace is not.
     fn push_unquoted(&mut self, byte: u8) -> bool {
         match byte {
             b'"' => {
--- a/crates/traffic/src/har/splitter.rs
+++ b/crates/traffic/src/har/splitter.rs
@@ -1,9 +1,9 @@
-//! A HAR document to its entries.
+//! Splits a HAR document into its entries.
 
 use super::array_finder::ArrayFinder;
 use super::entry_scanner::EntryScanner;
 
-/// Where in the document the splitter is.
+/// Position of the splitter in the document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ParserState {
     /// Before the `[` of `log.entries`.
@@ -11,18 +11,18 @@
     Before,
     /// Between two entries.
     Between,
-    /// In an entry.
+    /// Within an entry.
     Within,
-    /// Behind the `]`.
+    /// After the `]` of `log.entries`.
     After,
 }
 
 /// An element of the array `log.entries`.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Element<'a> {
-    /// Its text, with long strings truncated.
+    /// The text of an entry, with long strings truncated.
     Entry(&'a [u8]),
-    /// It is too long or nested too deep; its beginning.
+    /// An entry that is too long or nested too deep; holds its beginning.
     TooLong(&'a [u8]),
 }
 
@@ -31,7 +31,7 @@
 #[error("the document has no array log.entries, as HAR 1.2 wants it")]
 pub struct NoEntries;
 
-/// Finds the entries in a document that comes in chunks.
+/// Finds the entries in a document that is received in chunks.
 #[derive(Debug, Default)]
 pub struct Splitter {
     state: ParserState,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The document has ended. An entry that was not complete is handed back.
+    /// Ends the document. Returns the text of an incomplete entry, if the document ends within one.
     ///
     /// # Errors
     /// The document has no array `log.entries`.
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -1,4 +1,4 @@
-//! An import: files are read, their records mapped, sorted, folded and written as a recording.
+//! Imports files into a recording: records are read, mapped to jobs, sorted by time, folded and written.
 
 mod duplicates;
 mod error;
@@ -23,37 +23,37 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
-/// The longest time after an attempt's end in which a mapping can let a retry be guessed, in milliseconds.
+/// Maximum of `within-ms` under `guess` in a mapping: one hour.
 const MAX_GUESS_WITHIN_MS: u64 = 3_600_000;
 
-/// How to import.
+/// Options of an import.
 pub struct Options {
-    /// The format; `None`: each file's is detected.
+    /// Format of all files; `None`: it is detected for each file.
     pub format: Option<Kind>,
-    /// What records mean.
+    /// Mapping of records to jobs.
     pub mapping: Mapping,
-    /// The first record that cannot be understood ends the import.
+    /// Whether the import fails at the first record that cannot be understood.
     pub strict: bool,
-    /// The import fails if a larger ratio of the records cannot be understood, 0 to 1.
+    /// Maximum ratio of records that cannot be understood, 0 to 1; above it the import fails.
     pub max_bad: f64,
-    /// The seed of all random draws.
+    /// Seed of the random number generator that spreads coarse timestamps.
     pub seed: u64,
 }
 
 /// The result of an import.
 #[derive(Clone, Debug)]
 pub struct Imported {
-    /// The recording's last line.
+    /// Contents of the recording's last line.
     pub end: End,
-    /// What became of every record.
+    /// Counts of all records.
     pub tally: Tally,
 }
 
-/// Imports files into a recording. Rotated files may be named in any order. `read` counts the bytes read of the files,
-/// compressed as they are.
+/// Imports files into a recording. Rotated files may be listed in any order. `bytes_read` is increased by the bytes read
+/// from the files, before decompression.
 ///
 /// # Errors
-/// Why there is no recording; what has been written to `out` is of no use then.
+/// The reason why the import failed. The data written to `out` is incomplete then and must be discarded.
 pub fn import(
     paths: &[PathBuf],
     options: &Options,
@@ -85,7 +85,7 @@
     Ok(Imported { end, tally })
 }
 
-/// Spreads the attempts, folds retries, and writes the jobs.
+/// Spreads attempts with coarse timestamps, folds retries, and writes the jobs.
 fn fold<W: Write>(
     sorted: Sorted,
     options: &Options,
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// An error of the recording, or of the temporary files that it is sorted in.
+/// Wraps an I/O error of the recording or of the temporary files used for sorting.
 fn write_error(source: io::Error) -> ImportError {
     ImportError::File {
         file: "the recording".into(),
@@ -159,7 +159,8 @@
     )
 }
 
-/// The attempts of a job, the first and its retries, each as if it were a first attempt.
+/// Splits a job into its attempts, the first one and the retries, each as a job of its own without retries. Retries that
+/// were not recognised by a key are marked, so that they are folded again.
 pub fn attempts_of(mut job: Job) -> impl Iterator<Item = Attempt> {
     let retries = std::mem::take(&mut job.retries);
     let first = attempt(job.clone(), false);
@@ -175,7 +176,7 @@
     std::iter::once(first).chain(rest)
 }
 
-/// An attempt whose time is known to the microsecond, out of a recording.
+/// Returns an attempt from a recording, whose time is known to the microsecond.
 fn attempt(job: Job, marked: bool) -> Attempt {
     Attempt {
         job,
--- a/crates/traffic/src/import/duplicates.rs
+++ b/crates/traffic/src/import/duplicates.rs
@@ -1,17 +1,18 @@
-//! Records that were read before.
+//! Detection of records that were read before.
 
 use rustc_hash::FxHashMap;
 
-/// Hashes in each of the two generations; bounds the memory.
+/// Maximum number of hashes in each of the two generations; bounds the memory.
 const MAX_RECENT_RECORDS: usize = 200_000;
 
-/// Hashes of recent records, each with the index of its file, in two generations: when the newer one is full, the older
-/// one is forgotten.
+/// Hashes of recent records, each with the index of its file. There are two generations: when the newer one is full, the
+/// older one is discarded.
 #[derive(Default)]
 pub(super) struct RecentRecords([FxHashMap<u64, u32>; 2]);
 
 impl RecentRecords {
-    /// Was a record of this hash read before? Unless `in_same_file`, only one of another file counts.
+    /// Returns true if a record with this hash was read before; otherwise remembers it. Unless `in_same_file` is set, only
+    /// records of other files count as duplicates.
     pub(super) fn is_duplicate(&mut self, hash: u64, file: u32, in_same_file: bool) -> bool {
         if let Some(first) = self.0.iter().find_map(|half| half.get(&hash)) {
             return in_same_file || *first != file;
--- a/crates/traffic/src/import/error.rs
+++ b/crates/traffic/src/import/error.rs
@@ -6,7 +6,7 @@
 use crate::tally::{Reason, Tally};
 use std::io;
 
-/// Why there is no recording.
+/// Why an import failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
     /// A file cannot be read or written.
@@ -14,15 +14,15 @@
     File {
         /// Path or name of the file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file is not what it should be.
+    /// The format of a file is wrong or unknown.
     #[error("{file}: {source}")]
     Format {
         /// Path or name of the file.
         file: String,
-        /// What is wrong with it.
+        /// What is wrong with the format.
         source: FileFormatError,
     },
     /// In a strict import, a record cannot be understood.
@@ -30,11 +30,11 @@
     Strict {
         /// Name of the file.
         file: String,
-        /// The line, or entry of a HAR, from 1.
+        /// Number of the line, or of the entry in a HAR document, from 1.
         line: u64,
-        /// What is wrong.
+        /// Why the record was rejected.
         reason: Reason,
-        /// The beginning of the record.
+        /// Beginning of the record.
         text: String,
     },
     /// More records than allowed cannot be understood.
@@ -42,41 +42,41 @@
         "{bad} of {records} records could not be understood, a share of {ratio:.4}; {allowed} is allowed"
     )]
     TooManyBad {
-        /// Records that cannot be understood.
+        /// Number of records that cannot be understood.
         bad: u64,
-        /// All records read.
+        /// Number of records read.
         records: u64,
-        /// The ratio of the two.
+        /// `bad` divided by `records`.
         ratio: f64,
-        /// The greatest ratio allowed.
+        /// Maximum ratio allowed.
         allowed: f64,
     },
     /// No record is a job.
     #[error("there is not one job in {records} records; the counts say why")]
     NoJobs {
-        /// Records read.
+        /// Number of records read.
         records: u64,
-        /// What became of them.
+        /// Counts of these records by reason.
         tally: Box<Tally>,
     },
 }
 
-/// What is wrong with the form of a file.
+/// What is wrong with the format of a file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileFormatError {
-    /// Its kind cannot be detected.
+    /// The kind of the file cannot be detected.
     #[error(transparent)]
     Detect(#[from] DetectError),
-    /// It is no HAR document.
+    /// The file is not a HAR document.
     #[error(transparent)]
     Har(#[from] NoEntries),
-    /// It is no recording, or a damaged one.
+    /// The file is not a recording, or is damaged.
     #[error(transparent)]
     Recording(#[from] RecordingError),
 }
 
 impl ImportError {
-    /// The form of a file is wrong.
+    /// Creates the error for a file with a wrong or unknown format.
     pub(super) fn format(file: &str, source: impl Into<FileFormatError>) -> Self {
         ImportError::Format {
             file: file.into(),
--- a/crates/traffic/src/import/intake.rs
+++ b/crates/traffic/src/import/intake.rs
@@ -1,4 +1,4 @@
-//! The state of an import while records are read: they are mapped, counted and given to the sorter.
+//! State of an import while records are read: maps and counts them and passes them to the sorter.
 
 use super::duplicates::RecentRecords;
 use super::error::ImportError;
@@ -13,38 +13,38 @@
 use std::hash::Hasher;
 use std::io;
 
-/// A clock went back if a record began so long before the latest of its file.
+/// A record earlier than the latest one of its file by more than this means that the clock was set back.
 const CLOCK_STEP_BACK: Micros = 60_000_000;
-/// Nothing recorded for so long is a gap.
+/// Minimum time without records that counts as a gap.
 const MIN_GAP: Micros = 900_000_000;
 
-/// Where a record comes from.
+/// The source of a record.
 #[derive(Clone, Copy)]
 pub(super) struct Origin<'a> {
     /// Index of the file, in the order of reading.
     pub file: u32,
-    /// Its position in the file.
+    /// Position of the record in the file.
     pub position: Position<'a>,
-    /// Its text.
+    /// Text of the record as bytes.
     pub text: &'a [u8],
 }
 
-/// Takes the records of several files.
+/// Processes the records of all files of an import.
 pub(super) struct Intake<'a> {
     options: &'a Options,
     tally: Tally,
     names: NameInterner,
     sorter: Sorter,
     recent: RecentRecords,
-    /// Files of the import.
+    /// Number of files of the import.
     files: usize,
-    /// Number of the last attempt given to the sorter.
+    /// Sequence number of the last attempt passed to the sorter.
     seq: u64,
-    /// The latest time in this file; from a step of the clock on, the latest since then.
+    /// Latest time in the current file, or since the clock was last set back.
     latest: Option<Micros>,
-    /// The time of the record before, in this file.
+    /// Time of the preceding record of the current file.
     previous: Option<Micros>,
-    /// In a strict import, the first record that could not be understood.
+    /// In a strict import, the error of the first record that could not be understood.
     fatal: Option<ImportError>,
 }
 
@@ -64,27 +64,27 @@
         }
     }
 
-    /// A reader of times in one file.
+    /// Returns a timestamp reader for one file.
     pub(super) fn timestamps(&self) -> Reader {
         Reader::new(self.options.mapping.zone.clone())
     }
 
-    /// Forgets the times of the file before.
+    /// Resets the times of the preceding file.
     pub(super) fn begin_file(&mut self) {
         (self.latest, self.previous) = (None, None);
     }
 
-    /// Has the import failed, so that nothing further need be read?
+    /// Returns true if the import has failed, so that nothing more needs to be read.
     pub(super) fn has_failed(&self) -> bool {
         self.fatal.is_some()
     }
 
-    /// The error that ended the import, if any.
+    /// Returns the error that ended the import, if any.
     pub(super) fn take_failure(&mut self) -> Result<(), ImportError> {
         self.fatal.take().map_or(Ok(()), Err)
     }
 
-    /// All attempts, and the counts so far.
+    /// Returns the sorter with all attempts, and the counts so far.
     pub(super) fn finish(self) -> (Sorter, Tally) {
         (self.sorter, self.tally)
     }
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Counts something odd about a record.
+    /// Counts an anomaly of a record.
     pub(super) fn remark(&mut self, remark: Remark, position: Position<'_>, text: &[u8]) {
         self.tally.remark(remark, position, text);
     }
 
-    /// Takes a record that was decoded, or the reason why it was not. `true`: it is accepted.
+    /// Processes a decoded record, or the reason why it could not be decoded. Returns true if it is accepted.
     ///
     /// # Errors
     /// A temporary file cannot be written.
@@ -119,7 +119,7 @@
         origin: Origin<'_>,
         timestamps: &mut Reader,
     ) -> io::Result<bool> {
-        // Read for every record, so that none answers for one that was rejected before it.
+        // Queried for every record, which resets the flag; otherwise a rejected record would set it for the next one.
         let dst = timestamps.was_dst();
         let mapped = raw.and_then(|raw| self.options.mapping.map_record(&raw, &mut self.names));
         let mapped = match mapped {
@@ -151,7 +151,7 @@
         Ok(true)
     }
 
-    /// Takes a job of a recording, as the attempts that it was made of.
+    /// Processes a job of a recording as its single attempts, which are folded again.
     ///
     /// # Errors
     /// A temporary file cannot be written.
@@ -166,7 +166,8 @@
         self.sorter.push(Attempt { seq, ..attempt })
     }
 
-    /// Without an id two equal records may be two requests, unless they stand in two files: then one was copied.
+    /// Returns true if the record was read before. Without an id, equal records in one file may be different requests, but
+    /// equal records in two files are copies made by log rotation.
     fn is_duplicate(&mut self, mapped: &MappedRecord, origin: Origin<'_>) -> bool {
         let has_id = mapped.id != 0;
         let mut hash = FxHasher::default();
@@ -178,12 +179,12 @@
         (has_id || self.files > 1) && self.recent.is_duplicate(hash.finish(), origin.file, has_id)
     }
 
-    /// Remarks on a time that does not follow from those before it in the file.
+    /// Counts a clock step, a gap or reordering relative to the preceding records of the file.
     fn check_time(&mut self, at: Micros, origin: Origin<'_>) {
         match (self.latest, self.previous) {
             (Some(latest), _) if at + CLOCK_STEP_BACK < latest => {
                 self.remark(Remark::ClockBack, origin.position, origin.text);
-                self.latest = Some(at); // from here on the new time counts
+                self.latest = Some(at); // later records are compared with the new time
             }
             (Some(latest), _) if at > latest + MIN_GAP => {
                 self.remark(Remark::Gap, origin.position, origin.text);
--- a/crates/traffic/src/import/probe.rs
+++ b/crates/traffic/src/import/probe.rs
@@ -1,4 +1,4 @@
-//! What the beginning of a file says: its kind, and the first time in it.
+//! Reads the beginning of a file to determine its kind and the first time in it.
 
 use super::error::ImportError;
 use super::record_reader::MAX_RECORD_BYTES;
@@ -11,23 +11,24 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// A file of which the beginning was read.
+/// A file whose kind and first time are known.
 pub(super) struct ProbedFile<'a> {
-    /// Its path.
+    /// Path of the file.
     pub path: &'a Path,
-    /// Its kind: the one named, or else the one detected.
+    /// Kind of the file: as given in the options, or else as detected.
     pub kind: Kind,
-    /// The first time that can be read in it: rotated files are read in the order of these.
+    /// First time in an access log, by which rotated files are ordered; [`Micros::MAX`] if there is none, and for other
+    /// kinds of files.
     pub first: Micros,
 }
 
-/// Reads the beginning of a file.
+/// Determines the kind and the first time of a file.
 ///
 /// # Errors
-/// The file cannot be read, or its kind is not known.
+/// The file cannot be read, or its kind cannot be detected.
 pub(super) fn probe<'a>(path: &'a Path, options: &Options) -> Result<ProbedFile<'a>, ImportError> {
     let head = match &options.format {
-        Some(Kind::Har | Kind::Recording) => Vec::new(), // neither kind nor first time is needed
+        Some(Kind::Har | Kind::Recording) => Vec::new(), // the kind is given, and the first time is not used
         _ => read_head(path)?,
     };
     let kind = match &options.format {
@@ -47,7 +48,7 @@
     Ok(ProbedFile { path, kind, first })
 }
 
-/// The beginning of a file, uncompressed.
+/// Returns the beginning of a file, decompressed.
 fn read_head(path: &Path) -> Result<Vec<u8>, ImportError> {
     let error = file_error(path);
     let from = source::open(path, Arc::default()).map_err(&error)?;
--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -1,4 +1,4 @@
-//! Reading of files into the intake, by their kinds.
+//! Reads files of each kind and passes their records to [`Intake`].
 
 use super::error::ImportError;
 use super::intake::{Intake, Origin};
@@ -16,11 +16,11 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
-/// The file that is being read.
+/// Identifies the file that is being read.
 #[derive(Clone, Copy)]
 struct FileId<'a> {
     name: &'a str,
-    /// Its index in the order of reading.
+    /// Index of the file in the order of reading.
     index: u32,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Intake<'_> {
-    /// Reads a file, and hands back its name.
+    /// Reads a file and returns its name. `bytes_read` is increased by the bytes read, before decompression.
     pub(super) fn read_file(
         &mut self,
         file: &ProbedFile<'_>,
@@ -184,7 +184,7 @@
         self.end_har(&mut splitter, file, entry + 1)
     }
 
-    /// The document has ended, perhaps within the entry of number `next`.
+    /// Ends the document, which may be truncated within the entry of number `next`.
     fn end_har(
         &mut self,
         splitter: &mut Splitter,
@@ -221,7 +221,7 @@
 struct RecordDecoder<'a> {
     format: &'a LogFormat,
     timestamps: Reader,
-    /// The text of a record that is no UTF-8; kept for its memory.
+    /// Buffer for the text of a record that is not UTF-8.
     latin1: String,
 }
 
--- a/crates/traffic/src/import/record_reader.rs
+++ b/crates/traffic/src/import/record_reader.rs
@@ -1,29 +1,29 @@
-//! Records of a file of any form, one a line, in bounded memory.
+//! Splits a file into records, one per line, in bounded memory.
 
 use super::is_broken_off;
 use memchr::memchr;
 use std::io::{self, BufRead};
 
-/// The longest record.
+/// Maximum length of a record.
 pub(super) const MAX_RECORD_BYTES: usize = 64 * 1024;
-/// What is kept of a longer one, as an example.
+/// Number of bytes kept of a longer record, as an example.
 const KEPT_OF_LONG_RECORD_BYTES: usize = 1024;
 
-/// What was read next, without the end of the line.
+/// The next record of a file, without its line break.
 pub(super) enum RecordRead<'a> {
-    /// A record.
+    /// A complete record.
     Complete {
         bytes: &'a [u8],
-        /// The file ends behind it, without the end of the line.
+        /// Whether the file ends after it without a line break.
         unterminated: bool,
     },
-    /// A record that is too long; its beginning.
+    /// A record that is too long; holds its beginning.
     TooLong(&'a [u8]),
     /// The compressed file breaks off within this record.
     BrokenOff(&'a [u8]),
 }
 
-/// A record of which the buffer holds only a part.
+/// A record that spans several buffers.
 #[derive(Default)]
 struct PartialRecord {
     bytes: Vec<u8>,
@@ -50,13 +50,13 @@
     }
 }
 
-/// Reads records; one that the buffer holds completely is not copied.
+/// Reads records. A record that lies completely in the buffer is not copied.
 pub(super) struct RecordReader<'a> {
     from: &'a mut dyn BufRead,
     partial: PartialRecord,
-    /// The partial record has been handed out.
+    /// Whether the partial record is complete and was returned, so that it is cleared by the next call.
     partial_done: bool,
-    /// Bytes of the buffer that the record handed out last takes.
+    /// Number of bytes of the buffer to consume for the record returned last.
     used: usize,
 }
 
@@ -70,10 +70,10 @@
         }
     }
 
-    /// The next record; `None`: the file has ended.
+    /// Returns the next record; `None`: the file has ended.
     ///
     /// # Errors
-    /// The file cannot be read, for another reason than its compressed data.
+    /// The file cannot be read, for a reason other than damaged compressed data.
     pub(super) fn next(&mut self) -> io::Result<Option<RecordRead<'_>>> {
         self.from.consume(std::mem::take(&mut self.used));
         if std::mem::take(&mut self.partial_done) {
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -1,4 +1,4 @@
-//! What a recording holds: first attempts, each with its retries.
+//! The contents of a recording: jobs, each a first attempt with its retries.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -6,62 +6,64 @@
 /// A point in time in microseconds since 1970, or a duration in microseconds.
 pub type Micros = i64;
 
-/// One first attempt, as a client made it, with the retries that belong to it.
+/// A recorded job: the client's first attempt with its retries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// When its request was sent.
+    /// Time at which the first attempt was sent.
     pub at: Micros,
-    /// Its class.
+    /// Job class, as named by the mapping.
     pub class: Arc<str>,
-    /// Its parish (tenant); empty: none was known.
+    /// Parish (tenant); empty: unknown.
     pub parish: Arc<str>,
-    /// What it is about; empty: unknown.
+    /// Identifier of the object that the job is about, as extracted by the mapping; empty: unknown.
     pub subject: String,
-    /// Its idempotency key.
+    /// Idempotency key; `None`: the request has none.
     pub key: Option<String>,
-    /// How long the client said it would wait.
+    /// Time that the client is willing to wait, from the request or by class; `None`: unknown.
     pub deadline: Option<Micros>,
-    /// Bytes of its body, as far as known.
+    /// Size of the request body in bytes; 0: empty or unknown.
     pub bytes: u64,
-    /// Slots that it takes, where the log says so.
+    /// Number of worker slots that the job occupies; `None`: unknown.
     pub slots: Option<f32>,
-    /// A number for the client: its address behind trusted proxies, and its user. 0: unknown.
+    /// A number derived from the client's address (as forwarded by trusted proxies) and its authenticated user; 0: both
+    /// unknown.
     pub client: u64,
-    /// The recorded HTTP status; 0: none (the client left, or the recording broke off).
+    /// HTTP status of the first attempt; 0: no response (the client disconnected, or the log ends before it).
     pub status: u16,
-    /// How long the recorded response took.
+    /// Response time of the first attempt; `None`: unknown.
     pub took: Option<Micros>,
-    /// Retries by the client, in order.
+    /// Retries by the client, ordered by time.
     #[serde(rename = "tries")]
     pub retries: Vec<Retry>,
 }
 
-/// A retry of a job.
+/// A retry of a job by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Retry {
-    /// When it was sent.
+    /// Time at which the retry was sent.
     pub at: Micros,
-    /// The recorded status; 0: none.
+    /// HTTP status; 0: no response.
     pub status: u16,
-    /// How long the recorded response took.
+    /// Response time; `None`: unknown.
     pub took: Option<Micros>,
-    /// By what it was taken for a retry.
+    /// Evidence by which the attempt was assigned to the job.
     #[serde(rename = "how")]
     pub evidence: Evidence,
-    /// How sure that is, 0 to 1.
+    /// Probability that the assignment is right, 0 to 1.
     #[serde(rename = "sure")]
     pub confidence: f32,
 }
 
-/// By what an attempt was taken for a retry.
+/// The evidence by which an attempt was recognised as a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
-    /// It carries the same key, or the same request id.
+    /// The attempt carries the same idempotency key or request id.
     Key,
-    /// The client marked it.
+    /// The client marked the attempt as a retry.
     Marker,
-    /// The same client sent the same after a rejection, a failure or a time-out.
+    /// The same client sent a request of the same class about the same subject after an attempt that failed, was rejected or
+    /// timed out.
     Guess,
 }
 
@@ -70,7 +72,7 @@
     (200..400).contains(&status)
 }
 
-/// A number for a text, the same at every start (FNV-1a).
+/// Returns the 64-bit FNV-1a hash of a text, which is the same in every process.
 pub fn number(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,8 +1,10 @@
-//! Recorded traffic: HAR files and access logs become one plain type, [`Job`], and one file format to keep it in.
+//! Recorded traffic: HAR files and access logs are converted to one type, [`Job`], and stored in one file format, the
+//! [`recording`].
 //!
-//! The decoding does no I/O: [`access_log`] and [`har`] turn bytes that the caller has read into [`raw::RawRecord`]s,
-//! [`mapping`] says what job a record is, [`order`] sorts and spreads, [`fold`] finds the retries of one first attempt, and
-//! [`ops`] works on what comes out. Only [`source`], [`order`] and [`import`] read or write files.
+//! Decoding does no I/O: [`access_log`] and [`har`] turn bytes that the caller has read into [`raw::RawRecord`]s,
+//! [`mapping`] turns a record into a job, [`order`] sorts attempts by time and spreads those with coarse timestamps,
+//! [`fold`] assigns retries to their first attempt, and [`ops`] filters, merges, scales and summarises recordings. Only
+//! [`source`], [`order`] and [`import`] read or write files.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -1,4 +1,5 @@
-//! What a record means: its class, parish, subject and key, by an operator's file.
+//! Mapping of records to jobs: an operator's file contains the rules that extract class, parish (tenant), subject, key and
+//! other values from a record.
 
 mod compile;
 mod error;
@@ -21,24 +22,26 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// The longest deadline, in milliseconds: a day.
+/// Maximum deadline in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// The most slots of a job.
+/// Maximum number of slots of a job.
 const MAX_SLOTS: f64 = 65_536.0;
 
-/// A mapping, compiled.
+/// A compiled mapping.
 #[derive(Clone, Debug)]
 pub struct Mapping {
-    /// The file that it was made from.
+    /// The mapping file that it was compiled from.
     pub file: File,
-    /// The zone of times without an offset.
+    /// Time zone of timestamps without an offset.
     pub zone: TimeZone,
+    /// Networks of proxies whose `X-Forwarded-For` is used.
     trusted: Networks,
+    /// Named networks of clients.
     networks: Networks,
     extractors: Extractors,
 }
 
-/// The rules for each value of a job, in order; the first that yields a value counts.
+/// The rules for each value of a job. The first rule that yields a value applies.
 #[derive(Clone, Debug)]
 struct Extractors {
     class: Vec<Extractor>,
@@ -51,26 +54,27 @@
     slots: Vec<Extractor>,
 }
 
-/// What a record means.
+/// A record mapped to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MappedRecord {
     /// The job, as if the record were its first attempt.
     pub job: Job,
-    /// How exactly the time is known.
+    /// Resolution of the job's time.
     pub resolution: Micros,
-    /// The request's id, as a number; 0: none.
+    /// Hash of the request id; 0: none.
     pub id: u64,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub marked: bool,
-    /// What was odd.
+    /// Anomalies found in the record.
     pub remarks: Vec<Remark>,
 }
 
 impl Mapping {
-    /// Reads a mapping file: against its schema first, so that all errors in its form are reported at once.
+    /// Parses and compiles a mapping file. It is validated against its schema first, so that all schema violations are
+    /// reported at once.
     ///
     /// # Errors
-    /// Each thing that is wrong, with its place.
+    /// Every schema violation, or every entry that cannot be compiled, with its location.
     pub fn read(text: &str) -> Result<Self, MappingError> {
         let file: File = document::read("mapping", text)?;
         Mapping::new(file)
@@ -79,15 +83,15 @@
     /// Compiles a mapping.
     ///
     /// # Errors
-    /// Each entry that cannot be used.
+    /// Every entry that cannot be compiled, with its location.
     pub fn new(file: File) -> Result<Self, MappingError> {
         compile::compile(file)
     }
 
-    /// What a record means.
+    /// Maps a record to a job.
     ///
     /// # Errors
-    /// Why it is no job.
+    /// The reason why the record is rejected.
     pub fn map_record(
         &self,
         raw: &RawRecord<'_>,
@@ -132,7 +136,7 @@
         })
     }
 
-    /// Do method and path say that a request hands in a job?
+    /// Returns true if method and path of a request are those of a job submission.
     fn is_job(&self, method: Option<&str>, path: &str) -> bool {
         let jobs = &self.file.jobs;
         let begins_with_any = |prefixes: &[String]| {
@@ -159,7 +163,7 @@
         }
     }
 
-    /// The client's address, behind trusted proxies.
+    /// Returns the client's address, which may be forwarded by trusted proxies; `None`: the log has no readable peer address.
     fn client_address(&self, raw: &RawRecord<'_>, remarks: &mut Vec<Remark>) -> Option<IpAddr> {
         let peer = address(raw.peer.as_deref()?)?;
         match client(peer, raw.header("x-forwarded-for"), &self.trusted) {
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Deadline and slots, as the record says them or, for a deadline, its class.
+    /// Returns deadline and slots from the record; a missing deadline is taken from `deadline-of` by class.
     fn numbers(
         &self,
         context: &RecordContext<'_>,
@@ -201,13 +205,13 @@
     }
 }
 
-/// Numbers that a job may have.
+/// Optional numeric values of a job.
 struct JobNumbers {
     deadline: Option<Micros>,
     slots: Option<f32>,
 }
 
-/// Does the value of a retry marker say that the request is a retry?
+/// Returns true if the value of a retry marker means that the request is a retry.
 fn is_marked(marker: Cow<'_, str>) -> bool {
     !matches!(marker.trim(), "" | "0" | "false")
 }
@@ -229,20 +233,20 @@
     time.at
 }
 
-/// A number for a client, by its address and its user; 0: neither is known.
+/// Returns a number for a client, derived from its address and its user; 0: neither is known.
 fn client_number(address: Option<IpAddr>, user: Option<&str>) -> u64 {
     let user = user.map_or(0, |user| number(user).rotate_left(32));
     address.map_or(0, address_number) ^ user
 }
 
-/// A number for an address.
+/// Returns a number other than 0 for an address.
 fn address_number(address: IpAddr) -> u64 {
     let bits = match address {
         IpAddr::V4(v4) => u128::from(v4.to_bits()),
         IpAddr::V6(v6) => v6.to_bits(),
     };
     let folded = (bits as u64) ^ ((bits >> 64) as u64).rotate_left(29);
-    // The finalizer of SplitMix64: neighbouring addresses become unlike numbers.
+    // The finalizer of SplitMix64, so that the numbers of adjacent addresses differ in many bits.
     let mixed = (folded ^ (folded >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (mixed ^ (mixed >> 31)).max(1)
--- a/crates/traffic/src/mapping/compile.rs
+++ b/crates/traffic/src/mapping/compile.rs
@@ -1,4 +1,4 @@
-//! From a mapping file to a mapping: all that is wrong is collected.
+//! Compiles a mapping file into a mapping, collecting all errors.
 
 use super::error::{EntryError, EntryProblem, MappingError};
 use super::extractor::Extractor;
@@ -7,7 +7,7 @@
 use crate::networks::Networks;
 use jiff::tz::TimeZone;
 
-/// Collects what is wrong with the entries of a file.
+/// Collects the errors in the entries of a file.
 #[derive(Default)]
 struct Problems(Vec<EntryError>);
 
--- a/crates/traffic/src/mapping/error.rs
+++ b/crates/traffic/src/mapping/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a mapping.
+//! Errors in mapping files.
 
 use crate::document::DocumentError;
 use crate::networks::NetworkError;
@@ -6,10 +6,10 @@
 /// Why a mapping cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum MappingError {
-    /// The file does not have the form of a mapping.
+    /// The file is not JSON or does not match the schema of mapping files.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// Its form is right, and these entries cannot be used.
+    /// The file matches the schema, but these entries are invalid.
     #[error("{}", join_messages(.0))]
     Entries(Vec<EntryError>),
 }
@@ -19,23 +19,23 @@
     messages.join("\n")
 }
 
-/// An entry of a mapping that cannot be used.
+/// An invalid entry of a mapping.
 #[derive(Debug, thiserror::Error)]
 #[error("at {pointer}: {source}")]
 pub struct EntryError {
-    /// The entry, as a JSON Pointer.
+    /// Location of the entry as a JSON Pointer.
     pub pointer: String,
-    /// What is wrong with it.
+    /// The reason why the entry is invalid.
     pub source: EntryProblem,
 }
 
-/// What is wrong with an entry of a mapping.
+/// The reason why an entry of a mapping is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryProblem {
     /// No time zone has this name.
     #[error("{0:?} is no time zone; Europe/Lisbon is one")]
     Zone(String),
-    /// A network cannot be used.
+    /// A network is invalid.
     #[error(transparent)]
     Network(#[from] NetworkError),
     /// A rule's pattern cannot be compiled.
@@ -43,7 +43,7 @@
     Pattern {
         /// The pattern.
         pattern: String,
-        /// What is wrong with it.
+        /// The syntax error.
         source: regex::Error,
     },
     /// A rule asks for the name of a network, and none is named.
--- a/crates/traffic/src/mapping/extractor.rs
+++ b/crates/traffic/src/mapping/extractor.rs
@@ -1,4 +1,4 @@
-//! Rules that extract values from records: where a value is taken from, and how it is named.
+//! Compiled rules that extract a value from a record and optionally rename it.
 
 use super::error::EntryProblem;
 use super::file::{From, Rule};
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 use std::borrow::Cow;
 
-/// Where a value is taken from, compiled.
+/// The compiled source of a value, see [`From`].
 #[derive(Clone, Debug)]
 enum Source {
     Segment(i32),
@@ -23,19 +23,21 @@
     Always(String),
 }
 
-/// A compiled rule: how a value is extracted from a record.
+/// A compiled rule that extracts a value from a record.
 #[derive(Clone, Debug)]
 pub(super) struct Extractor {
     source: Source,
+    /// Replacements for values; empty: values are not renamed.
     names: FxHashMap<String, String>,
+    /// Whether values that are missing in `names` are kept as they are.
     others: bool,
 }
 
 impl Extractor {
-    /// Compiles a rule of the file.
+    /// Compiles a rule. `no_networks`: the mapping defines no networks.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The reason why the rule is invalid.
     pub(super) fn compile(rule: &Rule, no_networks: bool) -> Result<Self, EntryProblem> {
         Ok(Extractor {
             source: Source::compile(&rule.from, no_networks)?,
@@ -68,10 +70,11 @@
     }
 }
 
-/// A record, and the client that sent it.
+/// A record with the client that sent it, from which values are extracted.
 pub(super) struct RecordContext<'a> {
     pub raw: &'a RawRecord<'a>,
     pub path: &'a str,
+    /// Address of the client; `None`: unknown.
     pub client: Option<std::net::IpAddr>,
     pub networks: &'a Networks,
 }
--- a/crates/traffic/src/mapping/file.rs
+++ b/crates/traffic/src/mapping/file.rs
@@ -1,4 +1,4 @@
-//! The mapping file: its form and its schema.
+//! The format of mapping files. The doc comments of these types are part of the published JSON Schema.
 
 use crate::access_log::json::Fields;
 use crate::document;
@@ -171,7 +171,7 @@
     Always(String),
 }
 
-/// The published schema of the mapping file.
+/// Returns the published JSON Schema of mapping files.
 pub fn schema() -> serde_json::Value {
     document::schema::<File>()
 }
--- a/crates/traffic/src/names.rs
+++ b/crates/traffic/src/names.rs
@@ -1,12 +1,12 @@
-//! Names that occur many times, kept once.
+//! Interning of names that occur many times.
 
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Beyond so many names, further ones are not kept: hostile input may hold any number.
+/// Maximum number of names kept, because hostile input may contain any number of them.
 const MAX_NAMES: usize = 65_536;
 
-/// Hands out one copy of each name.
+/// Stores one shared copy of each name, up to a maximum number of names.
 #[derive(Clone, Debug, Default)]
 pub struct NameInterner(FxHashMap<String, Arc<str>>);
 
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -1,11 +1,11 @@
-//! Networks by name: prefixes of both kinds in a prefix tree each, longest prefix first.
+//! Named IP networks, with longest-prefix lookup in one prefix tree each for IPv4 and IPv6.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Names of networks.
+/// A set of networks, each with a name.
 #[derive(Clone, Default)]
 pub struct Networks {
     v4: PrefixMap<Ipv4Net, Arc<str>>,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Why a network cannot be added.
+/// Why a network is invalid or cannot be added.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NetworkError {
     /// The text is neither a prefix nor an address.
@@ -27,24 +27,24 @@
     /// Bits of the host are set, so that most likely another network was meant.
     #[error("{text:?} has bits beyond its prefix: {network} was meant?")]
     HostBits {
-        /// The text.
+        /// The text given.
         text: String,
-        /// The network without these bits.
+        /// The network with these bits cleared.
         network: IpNet,
     },
-    /// The same prefix has another name.
+    /// The same prefix was added before under another name.
     #[error("{text:?} is named both {old:?} and {new:?}")]
     NamedTwice {
-        /// The text.
+        /// The text given.
         text: String,
-        /// The name that it has.
+        /// The name under which it was added first.
         old: String,
-        /// The name that it should have as well.
+        /// The second name.
         new: String,
     },
 }
 
-/// Parses a network: a prefix, or one address alone.
+/// Parses a network: a CIDR prefix, or a single address.
 ///
 /// # Errors
 /// What is wrong with the text.
@@ -63,10 +63,10 @@
 }
 
 impl Networks {
-    /// Adds a network. The same prefix under another name is an error, which names both.
+    /// Adds a network under a name. Adding it again under the same name has no effect.
     ///
     /// # Errors
-    /// What is wrong with the text, or the other name.
+    /// The text is invalid, or the same prefix has another name already.
     pub fn add(&mut self, text: &str, name: &str) -> Result<(), NetworkError> {
         let name: Arc<str> = name.into();
         let old = match network(text)? {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The name of the longest prefix that holds an address.
+    /// Returns the name of the longest prefix that contains an address.
     pub fn find(&self, address: IpAddr) -> Option<&Arc<str>> {
         match address {
             IpAddr::V4(v4) => self.v4.get_lpm(&Ipv4Net::from(v4)).map(|(_, name)| name),
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Does any of them hold the address?
+    /// Returns true if any network contains the address.
     pub fn contains(&self, address: IpAddr) -> bool {
         self.find(address).is_some()
     }
 
-    /// Are there none?
+    /// Returns true if there are no networks.
     pub fn is_empty(&self) -> bool {
         self.v4.is_empty() && self.v6.is_empty()
     }
@@ -121,7 +121,7 @@
         .map(|v6| unmap_v4(IpAddr::V6(v6)))
 }
 
-/// An IPv4 address that is written as an IPv6 one, as the former.
+/// Converts an IPv4-mapped IPv6 address to IPv4 and leaves others unchanged.
 fn unmap_v4(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
@@ -129,8 +129,8 @@
     }
 }
 
-/// The address of the client: the connected peer, unless that is a trusted proxy; then the last address in
-/// `X-Forwarded-For` that is none.
+/// Returns the address of the client. That is the connected peer, unless it is a trusted proxy; then it is the last
+/// address in `X-Forwarded-For` that is not a trusted proxy. If all are trusted, it is the first address in the header.
 ///
 /// # Errors
 /// An entry that a trusted proxy wrote is no address; the last one that is.
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -1,4 +1,4 @@
-//! Operations on recordings: all are streams of jobs in, streams of jobs out, in order.
+//! Operations on recordings. Each consumes and produces a stream of jobs ordered by time; [`Summary`] counts them.
 
 mod pseudonyms;
 mod scale;
@@ -10,7 +10,7 @@
 
 use crate::job::{Job, Micros};
 
-/// Keeps jobs whose first attempt lies in `[from, to)`.
+/// Keeps jobs whose first attempt lies in `[from, to)`. The input must be ordered by time.
 pub fn time_range(
     jobs: impl Iterator<Item = Job>,
     from: Micros,
@@ -20,7 +20,7 @@
         .take_while(move |j| j.at < to)
 }
 
-/// Keeps jobs of these classes and parishes; an empty list keeps all.
+/// Keeps jobs whose class and parish (tenant) are both listed; an empty list allows every value.
 pub fn filter(
     jobs: impl Iterator<Item = Job>,
     classes: Vec<String>,
@@ -31,11 +31,11 @@
     jobs.filter(move |j| is_selected(&classes, &j.class) && is_selected(&parishes, &j.parish))
 }
 
-/// Several recordings as one, by time.
+/// Merges several recordings, each ordered by time, into one.
 pub struct Merged<I: Iterator<Item = Job>>(Vec<std::iter::Peekable<I>>);
 
 impl<I: Iterator<Item = Job>> Merged<I> {
-    /// Merges these.
+    /// Creates the merged stream. Jobs of equal time keep the order of their recordings in the list.
     pub fn new(recordings: Vec<I>) -> Self {
         Merged(recordings.into_iter().map(Iterator::peekable).collect())
     }
--- a/crates/traffic/src/ops/pseudonyms.rs
+++ b/crates/traffic/src/ops/pseudonyms.rs
@@ -1,11 +1,12 @@
-//! Pseudonyms in place of what names people and things.
+//! Pseudonymisation: replaces identifying values by keyed hashes.
 
 use crate::job::Job;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Puts keyed hashes (BLAKE3) in place of what names people and things: subjects, keys and clients; parishes too if
-/// wanted. The same key gives the same names again, so that recordings can still be compared.
+/// Replaces subjects, idempotency keys and client numbers by keyed hashes (BLAKE3), and parishes as well if `parishes` is
+/// set. The same secret gives the same pseudonyms, so recordings remain comparable. Empty values and client 0 (unknown)
+/// stay as they are.
 pub fn pseudonymise<I: Iterator<Item = Job>>(
     jobs: I,
     secret: &str,
--- a/crates/traffic/src/ops/scale.rs
+++ b/crates/traffic/src/ops/scale.rs
@@ -1,4 +1,4 @@
-//! Recordings at a higher or lower rate.
+//! Scales the request rate of a recording.
 
 use crate::job::{Job, Micros};
 use crate::order::unit;
@@ -6,20 +6,21 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// How the rate changes over time.
+/// The factor by which the rate is multiplied, as a function of time.
 #[derive(Clone, Copy, Debug)]
 pub enum Factor {
-    /// Everywhere the same.
+    /// A constant factor.
     Always(f64),
-    /// A jump: up to the factor from `from` on within `edge`, and back before `to`.
+    /// A temporary change: linear from 1 to `times` in the first `edge` after `from`, and back to 1 in the last `edge`
+    /// before `to`; 1 outside.
     Jump {
-        /// When it begins.
+        /// Start of the change.
         from: Micros,
-        /// When it is over.
+        /// End of the change (exclusive).
         to: Micros,
-        /// How long the rise, and the fall, take.
+        /// Duration of each of the two ramps; 0: the factor changes at once.
         edge: Micros,
-        /// The factor between.
+        /// The factor between the ramps.
         times: f64,
     },
 }
@@ -48,15 +49,19 @@
     }
 }
 
-/// Scales the rate. Thinning keeps each first attempt with its retries, by chance. Scaling up adds copies of each short
-/// stretch, each turned round within the stretch by a draw of its own: the copies have the burstiness of the original, and
-/// the rate keeps its course from stretch to stretch; no Poisson noise comes on top. A copy's subject and key are its own.
+/// Scales the rate of a recording, block by block. Below a factor of 1, each job is kept or dropped at random together
+/// with its retries. Above 1, copies of each block are added, each rotated within the block by a random offset: the
+/// copies keep the burstiness of the original and the rate profile from block to block, without additional Poisson noise.
+/// Each copy gets its own subject and idempotency key.
 pub struct Scaled<I: Iterator<Item = Job>> {
     from: std::iter::Peekable<I>,
     factor: Factor,
+    /// Length of a block.
     block: Micros,
     rng: Pcg64Mcg,
+    /// Scaled jobs of the current block that are not handed out yet.
     ready: VecDeque<Job>,
+    /// Copies made so far; makes their subjects and keys unique.
     clones: u64,
 }
 
@@ -109,7 +114,8 @@
     }
 }
 
-/// A copy of a job with its retries at another time, under a subject and key of its own.
+/// Returns a copy of a job whose first attempt is at `at`, with its retries moved along. `number` is appended to the
+/// subject and the key, so that they differ from those of the original and of other copies.
 fn clone_at(job: &Job, at: Micros, number: u64) -> Job {
     let mut job = job.clone();
     let by = at - job.at;
--- a/crates/traffic/src/ops/summary.rs
+++ b/crates/traffic/src/ops/summary.rs
@@ -1,42 +1,42 @@
-//! Counts and means of a recording.
+//! Summary statistics of a recording.
 
 use crate::job::{Job, Micros};
 use crate::timestamp::SECOND;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Seconds of a year; later jobs count in the last. Bounds the list.
+/// Longest span counted second by second: 366 days. Later jobs count in the last second; bounds [`Summary::per_second`].
 const MAX_SECONDS: i64 = 31_622_400;
 
-/// Counts and means of a recording.
+/// Summary statistics of a recording.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// First attempts.
+    /// Number of jobs (first attempts).
     pub jobs: u64,
-    /// Retries.
+    /// Number of retries.
     pub retries: u64,
-    /// Time of the first job, microseconds since 1970.
+    /// Time of the first job, in microseconds since 1970; `None` if there are no jobs.
     pub from: Option<Micros>,
-    /// Time of the last.
+    /// Time of the last job's first attempt, in microseconds since 1970.
     pub to: Option<Micros>,
-    /// Jobs by class, with shares.
+    /// Number of jobs by class.
     pub classes: BTreeMap<String, u64>,
-    /// Jobs by parish.
+    /// Number of jobs by parish (tenant); empty name: unknown.
     pub parishes: BTreeMap<String, u64>,
-    /// Jobs by the status of the last response.
+    /// Number of jobs by the HTTP status of the last attempt; 0: no response.
     pub statuses: BTreeMap<u16, u64>,
-    /// First attempts in each second from the first job on.
+    /// Number of first attempts in each second, starting with the first job.
     pub per_second: Vec<u32>,
-    /// Variance over mean of the counts a second (index of dispersion): 1 for a Poisson process of one rate.
+    /// Variance divided by mean of `per_second` (index of dispersion): 1 for a Poisson process of constant rate.
     pub dispersion: f64,
-    /// Mean of the recorded response times, in microseconds, over attempts that have one.
+    /// Mean recorded response time in microseconds, over the attempts that have one.
     pub mean_took: f64,
     /// Sum and count of the recorded response times.
     took: (f64, u64),
 }
 
 impl Summary {
-    /// Counts a job.
+    /// Adds a job. Jobs must be added in the order of their first attempts.
     pub fn add(&mut self, job: &Job) {
         self.jobs += 1;
         self.retries += job.retries.len() as u64;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Works out what takes all jobs.
+    /// Computes the dispersion and the mean response time, which need all jobs.
     pub fn finish(mut self) -> Self {
         let n = self.per_second.len().max(1) as f64;
         let mean = self.per_second.iter().map(|c| f64::from(*c)).sum::<f64>() / n;
--- a/crates/traffic/src/order.rs
+++ b/crates/traffic/src/order.rs
@@ -1,5 +1,5 @@
-//! Attempts in the order in which they were made, whatever order they were logged in, in bounded memory; and those whose
-//! time is known to the second only spread inside it.
+//! Sorts attempts by the time at which they were made, in bounded memory, and spreads attempts with coarse timestamps over
+//! the interval that their timestamp covers.
 
 mod run_file;
 mod sorter;
@@ -12,29 +12,29 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// One request of a client: a first attempt or a retry, which of them is not known yet.
+/// One request of a client, before folding decides whether it is a first attempt or a retry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
     /// The job, as if this were its first attempt.
     pub job: Job,
-    /// How exactly its time is known: the true one lies in `[at, at + resolution)`.
+    /// Resolution of its time: the true time lies in `[at, at + resolution)`.
     pub resolution: Micros,
-    /// Its position in what was read.
+    /// Position in the order of reading, over all files; orders attempts of equal time.
     pub seq: u64,
-    /// Its request id as a number; 0: none.
+    /// Hash of the request id; 0: none.
     pub id: u64,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub marked: bool,
-    /// Index of the file that it was read from.
+    /// Index of the source file, in the order of reading.
     pub file: u32,
 }
 
-/// What attempts are sorted by.
+/// The key by which attempts are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SortKey {
     /// When the attempt was made.
     at: Micros,
-    /// Its position in what was read.
+    /// [`Attempt::seq`].
     seq: u64,
 }
 
@@ -47,9 +47,9 @@
     }
 }
 
-/// An attempt in a heap: ordered by run and key.
+/// An attempt in a heap, ordered by run, then by sort key.
 struct HeapEntry {
-    /// Number of the run that it goes to.
+    /// Number of the run that the attempt is written to.
     run: u32,
     key: SortKey,
     attempt: Box<Attempt>,
--- a/crates/traffic/src/order/run_file.rs
+++ b/crates/traffic/src/order/run_file.rs
@@ -1,13 +1,13 @@
-//! Sorted runs on disk: attempts, each behind its length in four bytes.
+//! Sorted runs on disk. Each attempt is preceded by its length as a four-byte little-endian integer.
 
 use super::Attempt;
 use std::fs::File;
 use std::io::{self, BufReader, BufWriter, Read, Seek, Write};
 
-/// Written and read at once.
+/// Size of the buffers for writing and reading.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// A sorted run that is being written, to a temporary file without a name.
+/// Writes a sorted run to an unnamed temporary file.
 pub(super) struct RunWriter {
     out: BufWriter<File>,
     bytes: Vec<u8>,
@@ -30,7 +30,7 @@
         self.out.write_all(&self.bytes)
     }
 
-    /// The run, to be read from its beginning.
+    /// Ends the run and returns a reader positioned at its beginning.
     pub(super) fn finish(self) -> io::Result<RunReader> {
         let mut file = self
             .out
@@ -44,14 +44,14 @@
     }
 }
 
-/// A run that is being read.
+/// Reads a sorted run.
 pub(super) struct RunReader {
     from: BufReader<File>,
     bytes: Vec<u8>,
 }
 
 impl RunReader {
-    /// The next attempt; `None`: the run has ended.
+    /// Reads the next attempt; `None`: the run has ended.
     pub(super) fn next(&mut self) -> io::Result<Option<Box<Attempt>>> {
         let mut length = [0; 4];
         match self.from.read_exact(&mut length) {
--- a/crates/traffic/src/order/sorter.rs
+++ b/crates/traffic/src/order/sorter.rs
@@ -1,5 +1,5 @@
-//! Sorting by replacement selection (Knuth, volume 3, 5.4.1): a heap of fixed size that writes runs. A log is nearly in
-//! order, so it makes one run; a HAR sorted by page makes some, which are merged.
+//! External sorting by replacement selection (Knuth, volume 3, 5.4.1): a heap of fixed size writes sorted runs to disk.
+//! A log is nearly sorted and results in one run; a HAR document sorted by page results in several, which are merged.
 
 use super::run_file::{RunReader, RunWriter};
 use super::{Attempt, HeapEntry, SortKey};
@@ -8,21 +8,23 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::io;
 
-/// Attempts held in memory while sorting.
+/// Default number of attempts held in memory while sorting.
 const DEFAULT_CAPACITY: usize = 32_768;
-/// Runs that are merged at once; bounds the open files.
+/// Maximum number of runs before they are merged into one; bounds the number of open files.
 const MAX_MERGED_RUNS: usize = 64;
 
-/// Sorts attempts by time.
+/// Sorts attempts by time, in bounded memory.
 pub struct Sorter {
     heap: BinaryHeap<Reverse<HeapEntry>>,
-    /// Attempts held in memory at the most.
+    /// Maximum number of attempts held in memory.
     capacity: usize,
     /// Number of the run that is being written.
     run: u32,
-    /// The time of the last attempt written to it.
+    /// Time of the last attempt written to that run.
     last: Micros,
+    /// The run being written; `None` before the first attempt is spilled.
     out: Option<RunWriter>,
+    /// Finished runs.
     runs: Vec<RunReader>,
 }
 
@@ -33,7 +35,7 @@
 }
 
 impl Sorter {
-    /// One that holds so many attempts in memory.
+    /// Creates a sorter that holds up to `capacity` attempts in memory.
     pub fn new(capacity: usize) -> Self {
         Sorter {
             heap: BinaryHeap::new(),
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Takes an attempt.
+    /// Adds an attempt; beyond the capacity, the earliest one in memory is written to a run.
     ///
     /// # Errors
     /// A temporary file cannot be written.
     pub fn push(&mut self, attempt: Attempt) -> io::Result<()> {
-        // What is older than what this run has written goes to the next one.
+        // An attempt earlier than the last one written goes to the next run.
         let run = self.run + u32::from(self.out.is_some() && attempt.job.at < self.last);
         self.heap.push(Reverse(HeapEntry::new(run, attempt)));
         if self.heap.len() > self.capacity
@@ -61,7 +63,7 @@
         Ok(())
     }
 
-    /// Writes an attempt to its run, which is the current one or the next.
+    /// Writes an attempt to its run. If that is not the current run, the current run is ended and the next one started.
     fn spill(&mut self, entry: &HeapEntry) -> io::Result<()> {
         if entry.run != self.run || self.out.is_none() {
             self.end_run()?;
@@ -94,7 +96,7 @@
         Ok(())
     }
 
-    /// All attempts in order.
+    /// Returns all attempts in order.
     ///
     /// # Errors
     /// A temporary file cannot be read.
@@ -110,16 +112,17 @@
     }
 }
 
-/// A run that is being merged, and its next attempt.
+/// A run that is being merged.
 struct MergedRun {
     reader: RunReader,
+    /// Its next attempt; `None`: the run has ended.
     head: Option<Box<Attempt>>,
 }
 
-/// Several runs as one.
+/// Merges several sorted runs into one.
 struct Merge {
     runs: Vec<MergedRun>,
-    /// Keys of the heads, each with the index of its run.
+    /// Sort keys of the runs' next attempts, each with the index of its run.
     heads: BinaryHeap<Reverse<(SortKey, usize)>>,
 }
 
@@ -137,7 +140,7 @@
         Ok(merge)
     }
 
-    /// Reads a run's next attempt.
+    /// Reads the next attempt of run `n`.
     fn advance(&mut self, n: usize) -> io::Result<()> {
         let run = &mut self.runs[n];
         run.head = run.reader.next()?;
@@ -158,11 +161,12 @@
     }
 }
 
-/// Attempts in order: those of the runs, and those that never left the memory.
+/// Iterator over all attempts in order: merges the runs with the attempts that stayed in memory.
 pub struct Sorted {
     merge: Merge,
-    /// The next one of the runs.
+    /// Next attempt of the merged runs, if it was read already.
     peeked: Option<Box<Attempt>>,
+    /// Attempts that were never written to disk, in order.
     rest: VecDeque<Box<Attempt>>,
 }
 
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -1,4 +1,4 @@
-//! Attempts whose time is known only roughly, spread over what their timestamp may stand for.
+//! Spreads attempts with coarse timestamps over the interval that their timestamp covers.
 
 use super::{Attempt, HeapEntry};
 use crate::job::Micros;
@@ -10,14 +10,15 @@
 use std::collections::BinaryHeap;
 use std::io;
 
-/// Spreads attempts whose time is known only roughly. Those of one and the same timestamp are put at uniform draws within
-/// its width, in the order in which their file logged them (the order statistics of a Poisson process given its count).
-/// The result is in order again.
+/// Spreads attempts with coarse timestamps. Attempts with the same timestamp get sorted uniform draws from the interval
+/// that it covers, in the order in which their file logged them (the order statistics of a Poisson process given its
+/// count). The input must be ordered by time, and so is the output.
 pub struct Spread<I: Iterator> {
     from: std::iter::Peekable<I>,
     rng: Pcg64Mcg,
+    /// Attempts that are spread but not handed out yet.
     heap: BinaryHeap<Reverse<HeapEntry>>,
-    /// Attempts that were spread over a second or more.
+    /// Number of attempts that were spread over a second or more.
     pub spread: u64,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Spreads all attempts of the next timestamp.
+    /// Spreads `first` and all following attempts with the same timestamp.
     fn spread_next(&mut self, first: Attempt) {
         let (at, resolution) = (first.job.at, first.resolution.max(1));
         let same = |attempt: &io::Result<Attempt>| {
@@ -47,7 +48,7 @@
         if resolution >= SECOND {
             self.spread += group.len() as u64;
         }
-        // The records of one file are in order; those of two files say nothing of each other's order.
+        // The order of records is meaningful within a file only: each file's attempts are spread on their own.
         group.sort_by_key(|attempt| attempt.file);
         if resolution > 1 {
             for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Moves attempts of one timestamp and one file by sorted uniform draws.
+/// Moves attempts of one timestamp and one file by sorted uniform draws from `[0, resolution)`.
 fn draw_times(attempts: &mut [Attempt], resolution: Micros, rng: &mut Pcg64Mcg) {
     let draw = |_| (unit(rng) * resolution as f64) as Micros;
     let mut draws: SmallVec<[Micros; 4]> = (0..attempts.len()).map(draw).collect();
@@ -96,7 +97,7 @@
     }
 }
 
-/// A uniform draw from 0 to 1.
+/// Returns a uniform random number from `[0, 1)`.
 pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -1,47 +1,48 @@
-//! A record as a log or HAR holds it, before a mapping says what it means.
+//! A decoded record of a log or HAR document, before it is mapped to a job.
 
 use crate::job::Micros;
 use crate::timestamp::RecordedTime;
 use std::borrow::Cow;
 
-/// One request as it was recorded. Texts are as they stand there, escapes undone.
+/// One request as it was recorded. Texts are unescaped but otherwise unchanged. `None` means that the record has no such
+/// value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RawRecord<'a> {
-    /// When it began or ended; which of them, the time says.
+    /// Start or end time of the request, see [`RecordedTime::is_end`].
     pub time: Option<RecordedTime>,
-    /// The connected peer: an address, perhaps with a port.
+    /// Address of the connected peer, perhaps with a port.
     pub peer: Option<Cow<'a, str>>,
     /// The authenticated user.
     pub user: Option<Cow<'a, str>>,
-    /// The method.
+    /// HTTP method.
     pub method: Option<Cow<'a, str>>,
-    /// Path and query, or a URL.
+    /// Path and query, or a complete URL.
     pub target: Option<Cow<'a, str>>,
-    /// The query, where the format tells it apart from the path.
+    /// The query, if the format logs it separately from the path.
     pub query: Option<Cow<'a, str>>,
-    /// The status; `None`: there was none.
+    /// HTTP status; `None`: there was no response.
     pub status: Option<u16>,
-    /// Bytes of the request's body.
+    /// Size of the request body in bytes.
     pub received: Option<u64>,
-    /// How long it took.
+    /// Duration of the request.
     pub took: Option<Micros>,
-    /// Headers by their names in lower case, cookies as `cookie.NAME`.
+    /// Request headers with their names in lower case, and separately logged cookies as `cookie.NAME`.
     pub headers: Vec<HeaderField<'a>>,
     /// A number in it could not be read.
     pub odd_number: bool,
 }
 
-/// A header field, or a cookie as `cookie.NAME`.
+/// A request header, or a cookie under the name `cookie.NAME`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderField<'a> {
-    /// Its name, in lower case.
+    /// Name, in lower case.
     pub name: Cow<'a, str>,
-    /// Its value.
+    /// Value, unescaped.
     pub value: Cow<'a, str>,
 }
 
 impl RawRecord<'_> {
-    /// A header's value, by its name in lower case.
+    /// Returns the value of the first header of this name, given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -49,7 +50,7 @@
             .map(|field| field.value.as_ref())
     }
 
-    /// A cookie's value: of a cookie that was recorded by itself, or else out of the header `Cookie`.
+    /// Returns the value of a cookie: from a separately logged cookie, or else from the `Cookie` header.
     pub fn cookie(&self, name: &str) -> Option<&str> {
         let own = self
             .headers
@@ -65,7 +66,7 @@
             .map(|(_, v)| v)
     }
 
-    /// The path alone, without scheme, authority and query.
+    /// Returns the path, without scheme, authority, query and fragment.
     pub fn path(&self) -> Option<&str> {
         let target = self.target.as_deref()?;
         let target = target.find("://").map_or(target, |at| {
@@ -75,7 +76,7 @@
         Some(target.split(['?', '#']).next().unwrap_or(""))
     }
 
-    /// A parameter of the query, not decoded.
+    /// Returns the value of a query parameter, without percent-decoding.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let query = match &self.query {
             Some(query) => query.trim_start_matches('?'),
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -1,23 +1,23 @@
-//! The file format of recordings, version 1: JSON lines, as they are or compressed by zstd.
+//! The file format of recordings, version 1: JSON lines, plain or compressed with zstd.
 //!
-//! The first line is the header, `{"format":"indigofold-recording","version":1,...}`; then one line a job, in the order
-//! of the first attempts; the last line is `{"end":{"jobs":N,"tries":M}}`, without which a file was cut off. Times are
-//! microseconds. A job's entries:
+//! The first line is the header, `{"format":"indigofold-recording","version":1,...}`. Then follows one line per job, in
+//! the order of the first attempts. The last line is `{"end":{"jobs":N,"tries":M}}`; a file without it is truncated. All
+//! times and durations are in microseconds. The fields of a job:
 //!
-//! | entry | meaning | if missing |
+//! | field | meaning | if missing |
 //! | --- | --- | --- |
-//! | `t` | when its request was sent, since 1970 | (must be there) |
-//! | `c` | class | (must be there) |
-//! | `p` | parish | unknown |
+//! | `t` | time at which the first attempt was sent, since 1970 | (required) |
+//! | `c` | class | (required) |
+//! | `p` | parish (tenant) | unknown |
 //! | `s` | subject | unknown |
 //! | `k` | idempotency key | none |
-//! | `d` | how long the client waits | unknown |
-//! | `b` | bytes of the body | 0 |
+//! | `d` | deadline: how long the client waits | unknown |
+//! | `b` | size of the request body in bytes | 0 |
 //! | `w` | slots | unknown |
-//! | `u` | a number for the client | 0: unknown |
-//! | `a` | status of the recorded answer | 0: none came |
-//! | `l` | how long that took | unknown |
-//! | `r` | retries, each `[time after t, status, how long, by what, how sure]` | none |
+//! | `u` | client number | 0: unknown |
+//! | `a` | HTTP status of the first attempt | 0: no response |
+//! | `l` | response time of the first attempt | unknown |
+//! | `r` | retries, each `[time after t, status, response time, evidence, confidence]` | none |
 
 mod error;
 mod job_line;
@@ -31,28 +31,28 @@
 use crate::tally::Tally;
 use serde::{Deserialize, Serialize};
 
-/// The version that is written.
+/// Version of the format that is written, and the newest that can be read.
 pub const VERSION: u32 = 1;
-/// The name in the header.
+/// Format name in the header, which identifies a file as a recording.
 pub const FORMAT: &str = "indigofold-recording";
 
-/// The first line.
+/// The first line of a recording.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// [`FORMAT`].
+    /// Format name, always [`FORMAT`].
     pub format: String,
-    /// [`VERSION`].
+    /// Version of the format, see [`VERSION`].
     pub version: u32,
-    /// The files that it was made of, for people.
+    /// Names of the files that the recording was made from; informational only.
     #[serde(default)]
     pub made_of: Vec<String>,
-    /// The seed of the random draws when it was made.
+    /// Seed of the random number generator when the recording was made.
     #[serde(default)]
     pub seed: u64,
 }
 
 impl Header {
-    /// A header of the version that is written.
+    /// Creates a header with the current format version.
     pub fn new(made_of: Vec<String>, seed: u64) -> Self {
         Header {
             format: FORMAT.into(),
@@ -63,20 +63,20 @@
     }
 }
 
-/// The last line.
+/// The contents of the last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// First attempts.
+    /// Number of jobs (first attempts).
     pub jobs: u64,
-    /// Retries.
+    /// Number of retries of all jobs.
     #[serde(rename = "tries")]
     pub retries: u64,
-    /// What became of what was read, where it was imported.
+    /// Counts of the import that made the recording; `None` if it was not made by an import.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tally: Option<Tally>,
 }
 
-/// The last line, as it is written.
+/// The last line as written. Error texts of serde contain the name of this struct.
 #[derive(Serialize, Deserialize)]
 struct Last {
     end: End,
--- a/crates/traffic/src/recording/job_line.rs
+++ b/crates/traffic/src/recording/job_line.rs
@@ -1,11 +1,11 @@
-//! A job as a line of a recording.
+//! Serialized form of a job: one line of a recording.
 
 use crate::job::{Evidence, Job, Micros, Retry};
 use crate::names::NameInterner;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// A job's line, each entry under its one letter. The texts of errors hold the struct's name.
+/// A job's line, with one-letter field names. Error texts of serde contain the name of this struct.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Line<'a> {
     #[serde(rename = "t")]
@@ -34,7 +34,7 @@
     retries: Vec<RetryEntry>,
 }
 
-/// A retry as it is written: time after the job's, status, how long, by what, how sure.
+/// A retry as written: time after the first attempt, status, response time, evidence, confidence.
 type RetryEntry = (Micros, u16, Option<Micros>, Evidence, f32);
 
 fn entry_of(retry: &Retry, job_at: Micros) -> RetryEntry {
--- a/crates/traffic/src/recording/reader.rs
+++ b/crates/traffic/src/recording/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of recordings.
+//! Reads recordings.
 
 use super::job_line::Line;
 use super::{End, FORMAT, Header, Last, RecordingError, VERSION};
@@ -6,25 +6,26 @@
 use crate::names::NameInterner;
 use std::io::{self, BufRead};
 
-/// The longest line; bounds the memory.
+/// Maximum length of a line; bounds the memory.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// Reads a recording.
+/// Reads a recording line by line; iterates over its jobs.
 pub struct Reader<R> {
     from: R,
     /// Its header.
     pub header: Header,
-    /// Its last line, once that was read.
+    /// The last line; `None` until it was read.
     pub end: Option<End>,
-    /// The line that is being read.
+    /// Buffer for the current line.
     text: Vec<u8>,
-    /// Its number, from 1.
+    /// Number of the last line read, from 1.
     line: u64,
-    /// Jobs read so far.
+    /// Number of jobs read so far.
     jobs: u64,
-    /// The time of the last one.
+    /// Time of the last job read.
     last: Micros,
     names: NameInterner,
+    /// Whether the end line or an error was reached.
     finished: bool,
 }
 
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Reads the next line: a job, or the last line, behind which nothing is read.
+    /// Reads the next line; `None`: it is the end line, after which nothing is read.
     fn read_job(&mut self) -> Result<Option<Job>, RecordingError> {
         self.text.clear();
         if !read_line(&mut self.from, &mut self.text)? {
--- a/crates/traffic/src/recording/writer.rs
+++ b/crates/traffic/src/recording/writer.rs
@@ -1,4 +1,4 @@
-//! Writing of recordings.
+//! Writes recordings.
 
 use super::job_line::Line;
 use super::{End, Header, Last};
@@ -6,19 +6,22 @@
 use crate::tally::Tally;
 use std::io::{self, Write};
 
-/// Writes a recording.
+/// Writes a recording line by line.
 pub struct Writer<W: Write> {
     out: W,
+    /// Buffer for the current line.
     bytes: Vec<u8>,
+    /// Counts so far, written as the end line.
     end: End,
+    /// Time of the last job written.
     last: Micros,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins with the header.
+    /// Writes the header.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Writing to `out` fails.
     pub fn new(mut out: W, header: &Header) -> io::Result<Self> {
         serde_json::to_writer(&mut out, header)?;
         out.write_all(b"\n")?;
@@ -33,7 +36,7 @@
     /// Writes a job.
     ///
     /// # Errors
-    /// It cannot be written, or comes out of order.
+    /// Writing fails, or the job is earlier than the last one written.
     pub fn write(&mut self, job: &Job) -> io::Result<()> {
         if job.at < self.last {
             return Err(io::Error::other(
@@ -51,10 +54,10 @@
         self.out.write_all(&self.bytes)
     }
 
-    /// Writes the last line.
+    /// Writes the end line and flushes the output. `tally` holds the counts of the import, if there was one.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Writing fails.
     pub fn finish(mut self, tally: Option<Tally>) -> io::Result<(W, End)> {
         self.end.tally = tally;
         serde_json::to_writer(
--- a/crates/traffic/src/source.rs
+++ b/crates/traffic/src/source.rs
@@ -1,4 +1,4 @@
-//! Files, plain or compressed by gzip or zstd, as their first bytes say and not their names.
+//! Opens input files. Compression (gzip or zstd) is detected by the first bytes of a file, not by its name.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Read};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Read at once.
+/// Size of read buffers.
 const BUFFER_BYTES: usize = 128 * 1024;
 
 /// Counts what is read of a file, compressed as it is.
@@ -23,7 +23,7 @@
     }
 }
 
-/// Opens a file; how much of it was read is added to the counter.
+/// Opens a file, decompressing it if needed. `bytes_read` is increased by the bytes read, before decompression.
 ///
 /// # Errors
 /// It cannot be opened, or is in UTF-16, which no server writes.
@@ -37,7 +37,7 @@
     ))
 }
 
-/// The content of a stream that may be compressed.
+/// Returns the content of a stream that may be compressed with gzip or zstd.
 ///
 /// # Errors
 /// It cannot be read.
@@ -57,7 +57,7 @@
     })
 }
 
-/// Skips the byte order mark that some editors put before UTF-8.
+/// Skips a UTF-8 byte order mark, which some editors write.
 ///
 /// # Errors
 /// The stream cannot be read, or is in UTF-16.
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -1,11 +1,11 @@
-//! What became of every record read: nothing is dropped uncounted.
+//! Counts of an import: every record read is counted as a first attempt, a folded retry or rejected.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Examples kept for each reason.
+/// Maximum number of examples kept for each reason or remark.
 const MAX_EXAMPLES: usize = 3;
-/// Characters kept of an example.
+/// Maximum number of characters kept of an example.
 const MAX_EXAMPLE_CHARS: usize = 160;
 
 /// Why a record was rejected.
@@ -14,36 +14,37 @@
 pub enum Reason {
     /// The line is empty.
     Blank,
-    /// It begins with `#`, as headers of logs do.
+    /// The line begins with `#`, like the header lines of some logs.
     Comment,
-    /// It does not have the form that was named.
+    /// The record does not match the format.
     Malformed,
-    /// The file ends within it.
+    /// The file ends within the record.
     Truncated,
-    /// It is longer than any record that is meant.
+    /// The record exceeds the maximum length, or the maximum nesting of a HAR entry.
     TooLong,
-    /// It holds control bytes: a torn or overwritten part of a file.
+    /// The record contains control bytes, as in a partially written or overwritten part of a file.
     Binary,
-    /// It has no time.
+    /// The record has no time.
     NoTime,
-    /// Its time cannot be read, or lies outside what can be meant.
+    /// The time cannot be parsed, or lies outside the plausible range.
     BadTime,
-    /// Its status is no HTTP status.
+    /// The status is not a valid HTTP status.
     BadStatus,
-    /// It has no request, or one that cannot be read.
+    /// The request is missing or cannot be parsed.
     BadRequest,
-    /// The mapping says that it is no job.
+    /// By the mapping, the request is not a job submission.
     NotAJob,
-    /// No rule of the mapping names its class.
+    /// No rule of the mapping yields a class.
     NoClass,
-    /// No rule of the mapping names its parish, and the mapping wants one.
+    /// No rule of the mapping yields a parish (tenant), but the mapping requires one.
     NoParish,
-    /// The same record was read before.
+    /// The same record was read before, for example from a rotated copy of the file.
     Duplicate,
 }
 
 impl Reason {
-    /// Could the record not be understood? One that is blank, a comment, read before or no job by the mapping was.
+    /// Returns true if the record could not be understood; false for blank lines, comments, duplicates and requests that
+    /// are not jobs.
     pub fn is_bad(self) -> bool {
         !matches!(
             self,
@@ -52,75 +53,76 @@
     }
 }
 
-/// What was odd about a record that was taken all the same.
+/// An anomaly of a record that was accepted nevertheless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Remark {
-    /// It was no UTF-8, and was read as Latin-1.
+    /// The record is not UTF-8 and was read as Latin-1.
     Latin1,
-    /// It began before the one read before it.
+    /// The record's time is before that of the preceding record.
     Reordered,
-    /// The clock went back by more than records overtake each other.
+    /// The clock was set back: the time is earlier by more than reordering explains.
     ClockBack,
-    /// Nothing was recorded for a long time before it.
+    /// Nothing was recorded for a long time before the record.
     Gap,
-    /// Its local time came twice that day, or not at all; the reading that goes on from the record before was taken.
+    /// The local time is ambiguous or does not exist, because of a daylight saving change. An ambiguous time is resolved
+    /// so that it continues from the preceding record.
     Dst,
-    /// It has no response: the client left, or the recording broke off.
+    /// The record has no response: the client disconnected, or the log ends before it.
     NoAnswer,
-    /// How long it took is not known.
+    /// The duration of the request is unknown.
     NoDuration,
-    /// A forwarded address could not be read.
+    /// An address in `X-Forwarded-For` could not be parsed.
     BadForwarded,
-    /// A deadline or a count in it could not be read, and was left out.
+    /// A number (deadline, slots, duration or size) could not be parsed or is out of range, and was ignored.
     BadNumber,
-    /// The client marked it as a retry, but its first attempt is not in the recording.
+    /// The client marked the request as a retry, but no first attempt was found; it counts as one itself.
     Orphan,
-    /// Its time is known to the second only; it was spread inside.
+    /// The time is known to the second only, and was spread within that second.
     Spread,
 }
 
-/// A record as an example: its position, and its beginning.
+/// An example record: its position and its beginning.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Example {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// Line (or entry of a HAR), from 1.
+    /// Number of the line, or of the entry in a HAR document, from 1.
     pub line: u64,
-    /// The beginning of it.
+    /// Beginning of the record, with control characters replaced.
     pub text: String,
 }
 
-/// A count with its first examples.
+/// A number of records with the first few as examples.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Count {
-    /// How many.
+    /// Number of records.
     pub count: u64,
-    /// The first of them.
+    /// The first records counted; fewer if their texts were not available.
     pub examples: Vec<Example>,
 }
 
-/// The position of a record in what was read.
+/// The position of a record in the input.
 #[derive(Clone, Copy, Debug)]
 pub struct Position<'a> {
-    /// The file.
+    /// Name of the file.
     pub file: &'a str,
-    /// Line (or entry of a HAR), from 1.
+    /// Number of the line, or of the entry in a HAR document, from 1.
     pub line: u64,
 }
 
-/// The counts of an import: `read = taken + folded + rejected`, always.
+/// The counts of an import. When it has ended, `read = taken + folded + rejected`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Records read.
+    /// Number of records read.
     pub read: u64,
-    /// First attempts.
+    /// Number of first attempts.
     pub taken: u64,
-    /// Retries, each folded into its first attempt.
+    /// Number of retries, each folded into the job of its first attempt.
     pub folded: u64,
     /// Records rejected, by reason.
     pub rejected: BTreeMap<Reason, Count>,
-    /// What was odd about records that were taken or folded.
+    /// Anomalies of accepted records.
     pub remarks: BTreeMap<Remark, Count>,
 }
 
@@ -144,7 +146,7 @@
 }
 
 impl Tally {
-    /// A record was rejected.
+    /// Counts a rejected record.
     pub fn reject(&mut self, reason: Reason, position: Position<'_>, text: &[u8]) {
         self.read += 1;
         self.rejected.entry(reason).or_default().add(position, text);
@@ -155,7 +157,7 @@
         self.read += 1;
     }
 
-    /// Something was odd about a record.
+    /// Counts an anomaly of a record.
     pub fn remark(&mut self, remark: Remark, position: Position<'_>, text: &[u8]) {
         self.remarks.entry(remark).or_default().add(position, text);
     }
@@ -167,12 +169,12 @@
         }
     }
 
-    /// Records rejected for any reason.
+    /// Returns the number of records rejected for any reason.
     pub fn rejected(&self) -> u64 {
         self.rejected.values().map(|c| c.count).sum()
     }
 
-    /// Records that could not be understood.
+    /// Returns the number of records that could not be understood, see [`Reason::is_bad`].
     pub fn bad(&self) -> u64 {
         self.rejected
             .iter()
@@ -181,7 +183,7 @@
             .sum()
     }
 
-    /// Is every record read counted once?
+    /// Returns true if every record read is counted exactly once as taken, folded or rejected.
     pub fn adds_up(&self) -> bool {
         self.read == self.taken + self.folded + self.rejected()
     }
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -1,4 +1,4 @@
-//! Timestamps: the log formats' own, ISO 8601, counts since 1970, and any pattern of `strftime`.
+//! Parses timestamps: Common Log Format, ISO 8601, numbers since 1970, and `strftime` patterns.
 
 use crate::job::Micros;
 use jiff::civil::DateTime;
@@ -8,17 +8,18 @@
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
-/// From 1990 to 2200; other times are taken for errors.
+/// Times from 1990 to 2200; others are treated as errors.
 const PLAUSIBLE_TIMES: Range<Micros> = 631_152_000 * SECOND..7_258_118_400 * SECOND;
-/// An ambiguous local time is read as the later one if the earlier lies this far before the last record.
+/// An ambiguous local time is read as the later of its two instants if the earlier one precedes the last time read by more
+/// than this.
 const MAX_STEP_BACK: Micros = 300 * SECOND;
 
-/// A time and how exactly it is known: the true one lies in `[at, at + resolution)`.
+/// A time with its resolution: the true time lies in `[at, at + resolution)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordedTime {
-    /// The time.
+    /// Start of the interval, in microseconds since 1970.
     pub at: Micros,
-    /// The width of what it may stand for.
+    /// Length of the interval, at least one microsecond.
     pub resolution: Micros,
     /// It is that of the request's end, not of its start.
     pub end: bool,
@@ -34,41 +35,42 @@
     }
 }
 
-/// The text is no timestamp of this format, or no plausible time.
+/// The text is not a timestamp of the expected format, or not a plausible time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the text is no timestamp of this format")]
 pub struct InvalidTimestamp;
 
-/// How a timestamp is written.
+/// The format of a timestamp.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TimeFormat {
-    /// `10/Oct/2000:13:55:36 -0700`
+    /// Common Log Format: `10/Oct/2000:13:55:36 -0700`.
     Clf,
     /// ISO 8601, with or without an offset.
     Iso,
-    /// Seconds since 1970, perhaps with decimals.
+    /// Seconds since 1970, optionally with a fraction.
     Seconds,
     /// Milliseconds since 1970.
     Millis,
     /// Microseconds since 1970.
     Micros,
-    /// A pattern of `strftime`.
+    /// A `strftime` pattern.
     Pattern(String),
 }
 
-/// Reads the timestamps of one file: it remembers the last minute, as most lines share it with the one before, and where local
-/// times have come to.
+/// Parses the timestamps of one file. It caches the last minute, which most lines share with the preceding one, and keeps
+/// the last time read to resolve ambiguous local times.
 #[derive(Clone, Debug)]
 pub struct Reader {
+    /// Time zone of timestamps without an offset.
     zone: TimeZone,
     minute: Option<CachedMinute>,
-    /// The last time read.
+    /// Last time read.
     last: Option<Micros>,
-    /// It was a local time that comes twice, or not at all.
+    /// Whether an ambiguous or nonexistent local time was read since the last call of [`Self::was_dst`].
     dst: bool,
 }
 
-/// The minute of a Common Log Format timestamp, as it is written, and its start.
+/// The minute and offset of a Common Log Format timestamp as text, and the start of that minute.
 #[derive(Clone, Debug)]
 struct CachedMinute {
     minute: [u8; 17],
@@ -77,7 +79,7 @@
 }
 
 impl Reader {
-    /// Local times without an offset are of this zone.
+    /// Creates a reader; timestamps without an offset are local times of `zone`.
     pub fn new(zone: TimeZone) -> Self {
         Reader {
             zone,
@@ -87,15 +89,15 @@
         }
     }
 
-    /// Was the last timestamp a local time that comes twice, or not at all?
+    /// Returns true if an ambiguous or nonexistent local time (at a daylight saving change) was read since the last call.
     pub fn was_dst(&mut self) -> bool {
         std::mem::take(&mut self.dst)
     }
 
-    /// Reads a timestamp.
+    /// Parses a timestamp.
     ///
     /// # Errors
-    /// The text is no timestamp of this format.
+    /// The text is not a timestamp of this format, or not a plausible time.
     pub fn read(
         &mut self,
         form: &TimeFormat,
@@ -116,7 +118,7 @@
         Ok(time)
     }
 
-    /// `10/Oct/2000:13:55:36 -0700`, with the minute's start remembered.
+    /// Parses `10/Oct/2000:13:55:36 -0700`, using the cached minute if it is the same. A leap second is read as second 59.
     fn clf(&mut self, text: &[u8]) -> Result<Micros, InvalidTimestamp> {
         let (Some(minute), Some(seconds), Some(offset)) =
             (text.get(..17), text.get(17..20), text.get(21..26))
@@ -166,8 +168,8 @@
         Ok(RecordedTime::new(self.local(local)?, resolution))
     }
 
-    /// A local time. One that comes twice is read as the first of the two, unless the log has gone past that; one that
-    /// does not come at all is read with the offset before the change.
+    /// Converts a local time. An ambiguous time (clocks set back) is read as the first of its two instants, unless the log
+    /// is past that already; a nonexistent time (clocks set forward) is read with the offset before the change.
     fn local(&mut self, local: DateTime) -> Result<Micros, InvalidTimestamp> {
         let with = |offset: jiff::tz::Offset| {
             offset
@@ -194,14 +196,14 @@
     }
 }
 
-/// A number of two digits.
+/// Parses a number of exactly two digits.
 fn two_digits(text: &[u8]) -> Option<Micros> {
     let [a, b] = text else { return None };
     let digit = |d: &u8| d.is_ascii_digit().then(|| Micros::from(d - b'0'));
     Some(digit(a)? * 10 + digit(b)?)
 }
 
-/// The start of a minute written `10/Oct/2000:13:55`, at an offset written `-0700`.
+/// Returns the start of a minute written as `10/Oct/2000:13:55` with an offset written as `-0700`.
 fn clf_minute(minute: &[u8], offset: &[u8]) -> Option<Micros> {
     const MONTHS: [&[u8]; 12] = [
         b"Jan", b"Feb", b"Mar", b"Apr", b"May", b"Jun", b"Jul", b"Aug", b"Sep", b"Oct", b"Nov",
@@ -232,7 +234,7 @@
     (h < 24 && m < 60).then(|| utc - sign * (h * 60 + m) * 60 * SECOND)
 }
 
-/// The resolution of a text that may have a fraction of a second.
+/// Returns the resolution of a timestamp by the number of digits after its decimal separator; a second if it has none.
 fn resolution(text: &str) -> Micros {
     let Some(dot) = text.rfind(['.', ',']) else {
         return SECOND;
@@ -244,7 +246,7 @@
     10i64.pow(6u32.saturating_sub(digits.min(6)))
 }
 
-/// A decimal number of units, exactly.
+/// Parses a decimal number of units without rounding; digits below a microsecond are dropped.
 fn decimal(text: &str, unit: Micros) -> Result<RecordedTime, InvalidTimestamp> {
     let (integer, decimals) = text.split_once('.').unwrap_or((text, ""));
     let digits = |t: &str| t.bytes().all(|b| b.is_ascii_digit());
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Lines of each format, and what they say.
+//! Decoding of each log format and of HAR documents.
 
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::har::{self, Element, Splitter};
@@ -11,7 +11,7 @@
     Reader::new(TimeZone::UTC)
 }
 
-/// What is read of a record, in short; or why nothing is.
+/// Returns a summary of the decoded record, or the reason why it is rejected.
 fn read(format: &str, record: &str) -> String {
     let format = LogFormat::named(format).expect("a format");
     let read = format
@@ -191,7 +191,7 @@
     assert_eq!(read(r#"{"ts":17916369"#), "Malformed");
 }
 
-/// The entries of a document that comes in pieces of a size.
+/// Decodes the entries of a document that is pushed in chunks of `size` bytes.
 fn entries(text: &str, size: usize) -> Vec<Result<String, Reason>> {
     let (mut splitter, mut out) = (Splitter::default(), Vec::new());
     for chunk in text.as_bytes().chunks(size) {
@@ -246,7 +246,8 @@
     );
 }
 
-/// Guards against a document with large bodies taking as much memory, and against cuts that break the text.
+/// Guards against memory use that grows with the bodies in a document, and against truncation that makes the JSON text of
+/// an entry invalid.
 #[test]
 fn long_strings_in_an_entry_are_truncated_to_valid_json() {
     let body = |unit: &str| unit.repeat(60_000);
@@ -272,7 +273,7 @@
         }
         assert!(sizes.len() == 1 && sizes[0] < 10_000, "{unit}: {sizes:?}");
     }
-    // Where there is no place to cut, the entry is too long, and the next one is read.
+    // A string of escapes only cannot be truncated: the entry is too long, and the next one is still read.
     let escapes = format!(
         r#"{{"log":{{"entries":[{{"a":"{}"}},{{"startedDateTime":"x"}}]}}}}"#,
         body(&"\\\\".repeat(20))
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -1,4 +1,4 @@
-//! Whole imports: the hard cases of logs, and the counts that must add up.
+//! Whole imports: difficult cases in real logs, and the consistency of the counts.
 
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::import::{ImportError, Imported, Options, import};
@@ -73,7 +73,7 @@
     imported.tally.remarks.get(&remark).map_or(0, |c| c.count)
 }
 
-/// A log of eleven records: two jobs, and one record for each of nine reasons to reject it.
+/// Returns a log of eleven records: two jobs, and one record for each of nine rejection reasons.
 fn log_with_rejected_records() -> Vec<u8> {
     let mut text = Vec::new();
     for bytes in [
@@ -188,7 +188,7 @@
     );
     let subjects: Vec<String> = (0..180).map(|s| format!("kit-{s}")).collect();
     assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()));
-    // A file that breaks off in the middle of compressed data gives what came before.
+    // From a file that ends in the middle of compressed data, the records before that are imported.
     let half = dir.file("half.gz", &gz[..gz.len() / 2]);
     let (imported, jobs) = import_jobs(&[half], &options(Some("common"))).expect("jobs");
     assert!(
@@ -253,7 +253,7 @@
     );
 }
 
-/// Failed attempts and retries with and without key and marker, by times in seconds.
+/// Returns a log of failed attempts and retries, with and without key and marker. The times are in seconds.
 fn log_with_retries() -> String {
     let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, retry_marker: &str| {
         log_record(
@@ -265,17 +265,17 @@
     [
         at(1, "/book/kit-1", 503, 1000, "a1", "k1", "-"),
         at(2, "/book/kit-1", 503, 1000, "a2", "k1", "1"),
-        at(3, "/book/kit-1", 200, 1000, "a3", "k1", "-"), // the same key, though not marked
-        at(4, "/book/kit-1", 200, 1000, "a4", "k2", "-"), // another key is another job
+        at(3, "/book/kit-1", 200, 1000, "a3", "k1", "-"), // retry by its key, although not marked
+        at(4, "/book/kit-1", 200, 1000, "a4", "k2", "-"), // another key: another job
         at(10, "/reserve/kit-2", 503, 1000, "b1", "-", "-"),
         at(12, "/reserve/kit-2", 200, 1000, "b2", "-", "1"),
         at(20, "/reserve/kit-3", 500, 1000, "c1", "-", "-"),
-        at(22, "/reserve/kit-3", 200, 1000, "c2", "-", "-"), // guessed
+        at(22, "/reserve/kit-3", 200, 1000, "c2", "-", "-"), // guessed retry
         at(30, "/reserve/kit-4", 200, 1000, "d1", "-", "-"),
-        at(32, "/reserve/kit-4", 200, 1000, "d2", "-", "-"), // it was served: another job
+        at(32, "/reserve/kit-4", 200, 1000, "d2", "-", "-"), // the earlier attempt succeeded: another job
         at(40, "/reserve/kit-5", 503, 1000, "e1", "-", "-"),
-        at(50, "/reserve/kit-5", 200, 1000, "e2", "-", "-"), // too late for a guess
-        at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // its first attempt is lost
+        at(50, "/reserve/kit-5", 200, 1000, "e2", "-", "-"), // too late to be guessed as a retry
+        at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // marked, but its first attempt is missing
     ]
     .concat()
 }
@@ -415,7 +415,8 @@
     assert!(error("{").contains("no JSON"));
 }
 
-/// Guards against one file's lines being put before the other's in each second, which made bursts that never were.
+/// Guards against placing all records of one file before those of the other within each second, which creates bursts that
+/// did not exist.
 #[test]
 fn records_of_two_files_in_one_second_are_interleaved() {
     let dir = TestDir::new();
@@ -441,7 +442,7 @@
     }
 }
 
-/// Guards against remarks on records that were rejected, and on the record behind one.
+/// Guards against counting a remark for a rejected record, or for the record after it.
 #[test]
 fn remarks_are_counted_only_for_accepted_records() {
     let dir = TestDir::new();
--- a/crates/traffic/tests/networks.rs
+++ b/crates/traffic/tests/networks.rs
@@ -1,4 +1,4 @@
-//! Networks and addresses.
+//! Network lookup and client addresses.
 
 use indigofold_traffic::networks::{Networks, address, client};
 use std::net::IpAddr;
@@ -31,7 +31,7 @@
     assert!(nets.add("ten", "gualtar").is_err());
 }
 
-/// Guards against clients that write themselves another parish into the header.
+/// Guards against a client that sets `X-Forwarded-For` itself to be assigned to another parish (tenant).
 #[test]
 fn only_trusted_proxies_forwarded_addresses_are_used() {
     let mut trusted = Networks::default();
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Whatever comes, decoders end, memory is bounded, counts add up, and what was written is read retry.
+//! Properties for arbitrary input: decoders terminate in bounded memory, counts add up, and recordings round-trip.
 
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::har::{self, Element, MAX_ENTRY_BYTES, Splitter};
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A good line with one byte changed, lost or doubled is read or rejected, and counted.
+    /// Bytes of a valid log are changed, removed or inserted: each line is still either accepted or rejected, and counted.
     #[test]
     fn every_record_of_a_damaged_log_is_counted(harm in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
         let mut bytes: Vec<u8> = (0..24).flat_map(|n| {
@@ -158,7 +158,7 @@
         let read: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
         prop_assert_eq!(reader.end, Some(end));
         prop_assert_eq!(&read, &jobs);
-        // Cut anywhere, it is told.
+        // Truncation at any length is detected.
         for length in (0..bytes.len() - 1).step_by(97) {
             let read = Reader::new(&bytes[..length]).map(Iterator::collect::<Result<Vec<Job>, _>>);
             prop_assert!(!matches!(read, Ok(Ok(_))), "cut at {length}");
@@ -173,7 +173,7 @@
         }
     }
 
-    /// In whatever order retries come, and however little memory there is, they come out by time.
+    /// Attempts are ordered by time whatever their input order and however small the capacity in memory.
     #[test]
     fn sorting_with_spilled_runs_orders_by_time(jobs in proptest::collection::vec(job(), 0..60), capacity in 1usize..8) {
         let mut sorter = Sorter::new(capacity);
--- a/crates/traffic/tests/timestamps.rs
+++ b/crates/traffic/tests/timestamps.rs
@@ -1,4 +1,4 @@
-//! Forms of time stamps.
+//! Timestamp formats, resolutions and daylight saving changes.
 
 use indigofold_traffic::timestamp::{InvalidTimestamp, Reader, SECOND, TimeFormat};
 use jiff::tz::TimeZone;
@@ -63,7 +63,8 @@
     );
 }
 
-/// The hour that comes twice: the log goes on, and does not jump back.
+/// Guards against times that jump back by an hour when clocks are set back: within the repeated hour, an ambiguous time is
+/// read so that it continues from the preceding record.
 #[test]
 fn an_ambiguous_local_time_is_resolved_by_the_preceding_records() {
     let mut r = reader();
--- a/fuzz/fuzz_targets/formats.rs
+++ b/fuzz/fuzz_targets/formats.rs
@@ -1,4 +1,4 @@
-//! Format strings of the three servers, each then used on a line: no panic.
+//! Compiles arbitrary format strings of Apache, nginx and Envoy and decodes a line with each: must not panic.
 #![no_main]
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::timestamp::Reader;
--- a/fuzz/fuzz_targets/har.rs
+++ b/fuzz/fuzz_targets/har.rs
@@ -1,4 +1,5 @@
-//! HAR documents in chunks: no panic, bounded memory, and the same entries whatever the chunks.
+//! Splits arbitrary HAR documents: must not panic, must limit the size of entries, and the number of entries must not depend
+//! on the chunk size.
 #![no_main]
 use indigofold_traffic::har::{self, Element, MAX_ENTRY_BYTES, Splitter};
 use indigofold_traffic::timestamp::Reader;
--- a/fuzz/fuzz_targets/json.rs
+++ b/fuzz/fuzz_targets/json.rs
@@ -1,4 +1,4 @@
-//! JSON lines: no panic.
+//! Decodes arbitrary JSON lines with each form of time: must not panic.
 #![no_main]
 use indigofold_traffic::access_log::json::{Fields, TimeForm, Unit};
 use indigofold_traffic::timestamp::Reader;
--- a/fuzz/fuzz_targets/lines.rs
+++ b/fuzz/fuzz_targets/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the known text formats: no panic.
+//! Decodes arbitrary lines with each text format: must not panic.
 #![no_main]
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::timestamp::Reader;
--- a/fuzz/fuzz_targets/mapping.rs
+++ b/fuzz/fuzz_targets/mapping.rs
@@ -1,4 +1,4 @@
-//! Mapping files: no panic.
+//! Reads arbitrary mapping files: must not panic.
 #![no_main]
 use indigofold_traffic::mapping::Mapping;
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/recording.rs
+++ b/fuzz/fuzz_targets/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings: no panic, and none is taken for complete that is not.
+//! Reads arbitrary recordings: must not panic, and all lines are valid only if the end line was read.
 #![no_main]
 use indigofold_traffic::recording::Reader;
 use libfuzzer_sys::fuzz_target;
