--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -35,7 +35,7 @@
                     " \"-\" \"office/1.0 (parish till; build 2026.11)\""
                 };
                 format!(
-                    "10.0.0.{ip} - - [10/Oct/2026:13:{m:02}:{s:02} +0000] \"POST /reserve-stock/kit-{kit} HTTP/1.1\" 200 64{more}"
+                    "10.0.0.{ip} - - [10/Oct/2026:13:{m:02}:{s:02} +0000] \"POST /reserve-stock/kit-{kit} HTTP/1.1\" 200 64{suffix}"
                 )
             }
             "envoy" => format!(
@@ -66,8 +66,10 @@
 
 fn log_format(name: &str) -> LogFormat {
     match name {
-        "json" => LogFormat::Json(Box::new(serde_json::from_str(JSON).expect("fields"))),
-        name => LogFormat::named(name).expect("a format"),
+        "json" => LogFormat::Json(Box::new(
+            serde_json::from_str(JSON).expect("the field map is valid"),
+        )),
+        name => LogFormat::named(name).expect("the format is valid"),
     }
 }
 
@@ -135,7 +137,7 @@
         "har" => Kind::Har,
         name => Kind::AccessLog(log_format(name)),
     };
-    let mapping = Mapping::read(MAPPING).expect("a mapping");
+    let mapping = Mapping::read(MAPPING).expect("the mapping is valid");
     let options = Options {
         format: Some(format),
         mapping,
@@ -149,7 +151,7 @@
         .counter(ItemsCount::new(RECORDS))
         .bench_local(|| {
             import(&paths, &options, std::io::sink(), &Arc::default())
-                .expect("a recording")
+                .expect("the import succeeds")
                 .tally
                 .taken
         });
--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -119,8 +119,8 @@
     (field, end)
 }
 
-/// The field of a directive other than `%t`.
-#[allow(clippy::match_same_arms, reason = "a table, one entry a line")]
+/// Returns the field of a directive other than `%t`.
+#[allow(clippy::match_same_arms, reason = "a table with one entry per line")]
 fn field(directive: char, argument: Option<&str>) -> Result<Field, FormatError> {
     Ok(match (directive, argument) {
         ('h', _) => Field::Peer,
--- a/crates/traffic/src/access_log/envoy.rs
+++ b/crates/traffic/src/access_log/envoy.rs
@@ -41,7 +41,7 @@
     builder.finish(Escapes::None, false)
 }
 
-#[allow(clippy::match_same_arms, reason = "a table, one entry a line")]
+#[allow(clippy::match_same_arms, reason = "a table with one entry per line")]
 fn field(name: &str, argument: Option<&str>) -> Result<Field, FormatError> {
     Ok(match (name, argument) {
         ("START_TIME", None) => Field::Time(TimeFormat::Iso),
--- a/crates/traffic/src/access_log/error.rs
+++ b/crates/traffic/src/access_log/error.rs
@@ -27,8 +27,8 @@
     /// The unit is not allowed in Apache's `%{UNIT}T`.
     #[error("%{{{0}}}T: the unit must be s, ms or us")]
     UnknownUnit(String),
-    /// nginx allows no variable of this name.
-    #[error("'${0}' is no variable: letters, digits and '_' are allowed")]
+    /// The text after `$` is not a valid name of an nginx variable.
+    #[error("'${0}' is no variable name: letters, digits and '_' are allowed")]
     InvalidVariable(String),
     /// Envoy's `%REQ%` has no header name as its argument.
     #[error("%REQ% names no header")]
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -19,8 +19,10 @@
 /// Why the kind of a file cannot be detected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DetectError {
-    /// JSON lines have no form of their own.
-    #[error("these look like JSON lines: the mapping must say under 'json' where the fields stand")]
+    /// The file seems to contain JSON lines, and the mapping has no field map for them.
+    #[error(
+        "the file seems to contain JSON lines: the mapping must say under 'json' where the fields stand"
+    )]
     JsonWithoutFields,
     /// No line matches a known format.
     #[error(
--- a/crates/traffic/src/document.rs
+++ b/crates/traffic/src/document.rs
@@ -33,7 +33,7 @@
 
 /// A part of a file that does not match its schema.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("at {}: {message}", if pointer.is_empty() { "the top" } else { pointer })]
+#[error("at {}: {message}", if pointer.is_empty() { "the top level" } else { pointer })]
 pub struct Violation {
     /// Location in the document as a JSON Pointer; empty at the top level.
     pub pointer: String,
--- a/crates/traffic/src/har/splitter.rs
+++ b/crates/traffic/src/har/splitter.rs
@@ -28,7 +28,7 @@
 
 /// The document has no array `log.entries`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the document has no array log.entries, as HAR 1.2 wants it")]
+#[error("the document has no array log.entries, which HAR 1.2 requires")]
 pub struct NoEntries;
 
 /// Finds the entries in a document that is received in chunks.
--- a/crates/traffic/src/import/error.rs
+++ b/crates/traffic/src/import/error.rs
@@ -39,7 +39,7 @@
     },
     /// More records than allowed cannot be understood.
     #[error(
-        "{bad} of {records} records could not be understood, a share of {ratio:.4}; {allowed} is allowed"
+        "{bad} of {records} records could not be understood, a ratio of {ratio:.4}; {allowed} is allowed"
     )]
     TooManyBad {
         /// Number of records that cannot be understood.
@@ -51,8 +51,8 @@
         /// Maximum ratio allowed.
         allowed: f64,
     },
-    /// No record is a job.
-    #[error("there is not one job in {records} records; the counts say why")]
+    /// No record was mapped to a job.
+    #[error("none of the {records} records is a job; see the counts by reason")]
     NoJobs {
         /// Number of records read.
         records: u64,
--- a/crates/traffic/src/mapping/error.rs
+++ b/crates/traffic/src/mapping/error.rs
@@ -33,23 +33,23 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EntryProblem {
     /// No time zone has this name.
-    #[error("{0:?} is no time zone; Europe/Lisbon is one")]
+    #[error("{0:?} is not a known time zone; expected an IANA name such as Europe/Lisbon")]
     Zone(String),
     /// A network is invalid.
     #[error(transparent)]
     Network(#[from] NetworkError),
     /// A rule's pattern cannot be compiled.
-    #[error("{pattern:?} is no regular expression: {source}")]
+    #[error("{pattern:?} is not a valid regular expression: {source}")]
     Pattern {
         /// The pattern.
         pattern: String,
         /// The syntax error.
         source: regex::Error,
     },
-    /// A rule asks for the name of a network, and none is named.
-    #[error("there are no 'networks' to name a client by")]
+    /// A rule extracts the name of the client's network, but the mapping defines no networks.
+    #[error("the rule extracts the client's network, but there are no 'networks' in the mapping")]
     NoNetworks,
-    /// Ids are said to be kept over retries, and no rule names an id.
-    #[error("there is no rule for the id that is kept")]
+    /// Clients are said to keep the request id over retries, but no rule extracts an id.
+    #[error("id-kept is set, but there is no rule for 'id'")]
     NoIdRule,
 }
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -21,11 +21,13 @@
 /// Why a network is invalid or cannot be added.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NetworkError {
-    /// The text is neither a prefix nor an address.
-    #[error("{0:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed")]
+    /// The text is neither a CIDR prefix nor an address.
+    #[error(
+        "{0:?} is not a network: expected a prefix such as 10.4.0.0/16 or 2001:db8::/32, or a single address"
+    )]
     Invalid(String),
-    /// Bits of the host are set, so that most likely another network was meant.
-    #[error("{text:?} has bits beyond its prefix: {network} was meant?")]
+    /// The host part of the prefix is not zero, so that most likely another network was meant.
+    #[error("{text:?} has bits set beyond its prefix length; the network is {network}")]
     HostBits {
         /// The text given.
         text: String,
--- a/crates/traffic/src/recording/error.rs
+++ b/crates/traffic/src/recording/error.rs
@@ -25,8 +25,8 @@
         /// The JSON error.
         source: serde_json::Error,
     },
-    /// A job began before the one of the line before.
-    #[error("line {line} of the recording: jobs must stand in the order of their times")]
+    /// A job is earlier than the job on the preceding line.
+    #[error("line {line} of the recording: the job is earlier than the one on the preceding line")]
     Unordered {
         /// Line number, from 1.
         line: u64,
@@ -39,8 +39,8 @@
         /// Number of the last line present, from 1.
         line: u64,
     },
-    /// The last line counts other jobs than there are.
-    #[error("the recording's last line counts {counted} jobs, but there are {found}")]
+    /// The number of jobs in the end line differs from the number of job lines.
+    #[error("the recording's last line counts {counted} jobs, but {found} were read")]
     Counts {
         /// Number of jobs according to the end line.
         counted: u64,
--- a/crates/traffic/src/recording/writer.rs
+++ b/crates/traffic/src/recording/writer.rs
@@ -40,7 +40,7 @@
     pub fn write(&mut self, job: &Job) -> io::Result<()> {
         if job.at < self.last {
             return Err(io::Error::other(
-                "jobs must be written in the order of their times",
+                "a job is earlier than the one written before it; jobs must be written ordered by time",
             ));
         }
         self.last = job.at;
--- a/crates/traffic/src/source.rs
+++ b/crates/traffic/src/source.rs
@@ -65,7 +65,7 @@
     let head = from.fill_buf()?;
     if head.starts_with(&[0xff, 0xfe]) || head.starts_with(&[0xfe, 0xff]) {
         return Err(io::Error::other(
-            "the file is in UTF-16; UTF-8, Latin-1, gzip and zstd are read",
+            "the file is encoded in UTF-16; supported are UTF-8 and Latin-1, plain or compressed with gzip or zstd",
         ));
     }
     if head.starts_with(&[0xef, 0xbb, 0xbf]) {
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -37,7 +37,7 @@
 
 /// The text is not a timestamp of the expected format, or not a plausible time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the text is no timestamp of this format")]
+#[error("the text is not a timestamp of the expected format")]
 pub struct InvalidTimestamp;
 
 /// The format of a timestamp.
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -13,7 +13,7 @@
 
 /// Returns a summary of the decoded record, or the reason why it is rejected.
 fn read(format: &str, record: &str) -> String {
-    let format = LogFormat::named(format).expect("a format");
+    let format = LogFormat::named(format).expect("the format is valid");
     let read = format
         .read(record, &mut timestamps())
         .map(|raw| short(&raw));
@@ -61,11 +61,11 @@
     assert_eq!(
         read("combined", record),
         "Malformed",
-        "the quotes are missing"
+        "the quoted fields are missing"
     );
     assert!(
         read("common", more).starts_with(&expected[..60]),
-        "the rest of the line is the count of bytes, which is not used"
+        "the rest of the line is read as the byte count, which is not used"
     );
 }
 
@@ -87,7 +87,7 @@
     assert_eq!(of("[", ""), "Malformed");
     assert!(
         of(" 200 ", " - ").contains("| None None |"),
-        "no status is no error: the client left"
+        "a missing status is not an error: the client disconnected"
     );
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(
         read(format, record),
         expected,
-        "the finer of two times counts"
+        "of two times, the one with the finer resolution is used"
     );
     let plain = r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
     assert_eq!(
@@ -170,7 +170,9 @@
 fn json_records_are_decoded_by_a_field_map() {
     let fields = r#"{"time":"/ts","time-form":"millis","target":"/req/path","method":"/req/m","status":"/status",
         "took":"/ms","took-unit":"ms","peer":"/ip","headers":{"X-Customer":"/h/0"}}"#;
-    let format = LogFormat::Json(Box::new(serde_json::from_str(fields).expect("fields")));
+    let format = LogFormat::Json(Box::new(
+        serde_json::from_str(fields).expect("the field map is valid"),
+    ));
     let read = |record: &str| match format.read(record, &mut timestamps()) {
         Ok(raw) => short(&raw),
         Err(reason) => format!("{reason:?}"),
@@ -236,13 +238,13 @@
         Err(Reason::NoTime),
     ];
     for size in [1, 2, 7, 64, 100_000] {
-        assert_eq!(entries(&text, size), wanted, "in pieces of {size}");
+        assert_eq!(entries(&text, size), wanted, "in chunks of {size} bytes");
     }
     let truncated = &text[..text.len() - 5];
     assert_eq!(entries(truncated, 64).last(), Some(&Err(Reason::Truncated)));
     assert!(
         Splitter::default().finish().is_err(),
-        "no array of entries is an error"
+        "a document without an array of entries is an error"
     );
 }
 
@@ -268,7 +270,7 @@
                     );
                     sizes.push(text.len());
                 }
-                Element::TooLong(_) => panic!("{unit}"),
+                Element::TooLong(_) => panic!("the entry is too long, with a text of {unit}"),
             });
         }
         assert!(sizes.len() == 1 && sizes[0] < 10_000, "{unit}: {sizes:?}");
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -21,21 +21,21 @@
 
 impl TestDir {
     fn new() -> Self {
-        TestDir(tempfile::tempdir().expect("a folder"))
+        TestDir(tempfile::tempdir().expect("the temporary directory is created"))
     }
 
     fn file(&self, name: &str, bytes: &[u8]) -> PathBuf {
         let path = self.0.path().join(name);
-        std::fs::write(&path, bytes).expect("a file");
+        std::fs::write(&path, bytes).expect("the file is created");
         path
     }
 }
 
 fn options(format: Option<&str>) -> Options {
-    let format = format.map(|f| Kind::AccessLog(LogFormat::named(f).expect("a format")));
+    let format = format.map(|f| Kind::AccessLog(LogFormat::named(f).expect("the format is valid")));
     Options {
         format,
-        mapping: Mapping::read(MAPPING).expect("a mapping"),
+        mapping: Mapping::read(MAPPING).expect("the mapping is valid"),
         strict: false,
         max_bad: 1.0,
         seed: 1,
@@ -46,8 +46,11 @@
     let mut bytes = Vec::new();
     let imported = import(paths, options, &mut bytes, &Arc::default())?;
     assert!(imported.tally.adds_up(), "{:?}", imported.tally);
-    let mut reader = Reader::new(&bytes[..]).expect("a recording");
-    let jobs: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
+    let mut reader = Reader::new(&bytes[..]).expect("the recording is valid");
+    let jobs: Vec<Job> = reader
+        .by_ref()
+        .map(|j| j.expect("the line is a valid job"))
+        .collect();
     assert_eq!(reader.end.as_ref(), Some(&imported.end));
     let retries: usize = jobs.iter().map(|j| j.retries.len()).sum();
     assert_eq!(
@@ -96,7 +99,8 @@
 fn rejected_records_are_counted_by_reason_with_their_position() {
     let dir = TestDir::new();
     let path = dir.file("access.log", &log_with_rejected_records());
-    let (imported, jobs) = import_jobs(&[path], &options(Some("common"))).expect("jobs");
+    let (imported, jobs) =
+        import_jobs(&[path], &options(Some("common"))).expect("the import succeeds");
     let of = |reason| rejected(&imported, reason);
     assert_eq!((imported.tally.read, imported.tally.taken), (11, 2));
     let reasons = [
@@ -171,17 +175,18 @@
     };
     let mut gz = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::fast());
     gz.write_all(log_records(0, 60).as_bytes())
-        .expect("written");
-    let gz = gz.finish().expect("gzip");
-    let zst = zstd::encode_all(log_records(60, 120).as_bytes(), 1).expect("zstd");
-    // The newest file is rotated by copying: its first lines stand in the older one as well.
+        .expect("the write succeeds");
+    let gz = gz.finish().expect("gzip compression succeeds");
+    let zst =
+        zstd::encode_all(log_records(60, 120).as_bytes(), 1).expect("zstd compression succeeds");
+    // The newest file was rotated by copying: its first lines are in the older file as well.
     let newest = log_records(110, 180);
     let paths = [
         dir.file("a.log", newest.as_bytes()),
         dir.file("b.txt", &zst),
         dir.file("c", &gz),
     ];
-    let (imported, jobs) = import_jobs(&paths, &options(None)).expect("jobs");
+    let (imported, jobs) = import_jobs(&paths, &options(None)).expect("the import succeeds");
     assert_eq!(
         (jobs.len(), rejected(&imported, Reason::Duplicate)),
         (180, 10)
@@ -190,7 +195,8 @@
     assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()));
     // From a file that ends in the middle of compressed data, the records before that are imported.
     let half = dir.file("half.gz", &gz[..gz.len() / 2]);
-    let (imported, jobs) = import_jobs(&[half], &options(Some("common"))).expect("jobs");
+    let (imported, jobs) =
+        import_jobs(&[half], &options(Some("common"))).expect("the import succeeds");
     assert!(
         !jobs.is_empty() && jobs.len() < 60 && rejected(&imported, Reason::Truncated) == 1,
         "{}",
@@ -206,19 +212,19 @@
         .collect();
     let path = dir.file("a.log", text.as_bytes());
     let jobs = import_jobs(std::slice::from_ref(&path), &options(None))
-        .expect("jobs")
+        .expect("the import succeeds")
         .1;
     let subjects: Vec<String> = (0..400).map(|n| format!("kit-{n}")).collect();
     assert!(
         jobs.iter().map(|j| &j.subject).eq(subjects.iter()),
-        "the order stays"
+        "the order of the log is kept"
     );
     let begin = jobs[0].at / 1_000_000;
     for (n, job) in jobs.iter().enumerate() {
         assert_eq!(
             job.at / 1_000_000 - begin,
             n as i64 / 100,
-            "each stays in its second"
+            "job {n} stays within its second"
         );
     }
     let parts: Vec<i64> = jobs.iter().map(|j| j.at % 1_000_000).collect();
@@ -227,15 +233,18 @@
     assert_eq!(
         jobs,
         import_jobs(std::slice::from_ref(&path), &options(None))
-            .expect("jobs")
+            .expect("the import succeeds")
             .1,
-        "the same seed, the same draws"
+        "the same seed gives the same times"
     );
     let other = Options {
         seed: 2,
         ..options(None)
     };
-    assert_ne!(jobs, import_jobs(&[path], &other).expect("jobs").1);
+    assert_ne!(
+        jobs,
+        import_jobs(&[path], &other).expect("the import succeeds").1
+    );
 }
 
 #[test]
@@ -243,8 +252,8 @@
     let dir = TestDir::new();
     let at = |s: u32| log_record(s, &format!("/reserve/kit-{s}"), "200 5");
     let text = [at(200), at(201), at(199), at(20), at(21), at(3500)].concat();
-    let (imported, jobs) =
-        import_jobs(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
+    let (imported, jobs) = import_jobs(&[dir.file("a.log", text.as_bytes())], &options(None))
+        .expect("the import succeeds");
     let seconds: Vec<String> = jobs.iter().map(|j| j.subject.replace("kit-", "")).collect();
     assert_eq!(seconds, ["20", "21", "199", "200", "201", "3500"]);
     assert_eq!(
@@ -287,7 +296,7 @@
         &[dir.file("a.log", log_with_retries().as_bytes())],
         &options(Some(HEADERS)),
     )
-    .expect("jobs");
+    .expect("the import succeeds");
     let found: Vec<(String, Vec<Evidence>)> = jobs
         .iter()
         .map(|j| {
@@ -316,7 +325,7 @@
             && confidence(2) > 0.99
             && confidence(3) > 0.5
             && confidence(3) < confidence(2),
-        "a guess is less sure"
+        "a guessed retry has a lower confidence than a marked one"
     );
 }
 
@@ -339,8 +348,8 @@
         entries.join(","),
         &entry(59, 200)[..40]
     );
-    let (imported, jobs) =
-        import_jobs(&[dir.file("x.har", text.as_bytes())], &options(None)).expect("jobs");
+    let (imported, jobs) = import_jobs(&[dir.file("x.har", text.as_bytes())], &options(None))
+        .expect("the import succeeds");
     let subjects: Vec<&str> = jobs.iter().map(|j| j.subject.as_str()).collect();
     assert_eq!(subjects, ["kit-10", "kit-20", "kit-30", "kit-40", "kit-50"]);
     assert!(jobs.iter().all(|j| &*j.parish == "palmeira"));
@@ -372,11 +381,11 @@
         .map(|t| format!("{{\"t\":\"2026-10-25T{t}\",\"p\":\"/reserve/a\",\"m\":\"POST\"}}\n"))
         .collect();
     let options = Options {
-        mapping: Mapping::read(&mapping).expect("a mapping"),
+        mapping: Mapping::read(&mapping).expect("the mapping is valid"),
         ..options(None)
     };
     let (imported, jobs) =
-        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
+        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("the import succeeds");
     let minutes: Vec<i64> = jobs
         .windows(2)
         .map(|w| (w[1].at / 1_000_000 + 1) / 60 - (w[0].at / 1_000_000 + 1) / 60)
@@ -429,7 +438,9 @@
         dir.file("a.log", log_records("a").as_bytes()),
         dir.file("b.log", log_records("b").as_bytes()),
     ];
-    let jobs = import_jobs(&paths, &options(None)).expect("jobs").1;
+    let jobs = import_jobs(&paths, &options(None))
+        .expect("the import succeeds")
+        .1;
     for name in ["a-", "b-"] {
         let of: Vec<i64> = jobs
             .iter()
@@ -451,8 +462,8 @@
         log_record(8, "/reserve/kit-5", "200 5").as_bytes(),
     ]
     .concat();
-    let (imported, _) =
-        import_jobs(&[dir.file("a.log", &latin)], &options(Some("common"))).expect("jobs");
+    let (imported, _) = import_jobs(&[dir.file("a.log", &latin)], &options(Some("common")))
+        .expect("the import succeeds");
     assert_eq!(
         (
             remarked(&imported, Remark::Latin1),
@@ -469,10 +480,10 @@
         "\n"
     );
     let options = Options {
-        mapping: Mapping::read(&mapping).expect("a mapping"),
+        mapping: Mapping::read(&mapping).expect("the mapping is valid"),
         ..options(None)
     };
     let (imported, jobs) =
-        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
+        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("the import succeeds");
     assert_eq!((jobs.len(), remarked(&imported, Remark::Dst)), (1, 0));
 }
--- a/crates/traffic/tests/networks.rs
+++ b/crates/traffic/tests/networks.rs
@@ -16,7 +16,7 @@
         ("10.4.7.1", "till"),
         ("2001:db8::/32", "six"),
     ] {
-        nets.add(net, name).expect("a network");
+        nets.add(net, name).expect("the network is valid");
     }
     let name = |text: &str| nets.find(ip(text)).map(ToString::to_string);
     assert_eq!(name("10.4.7.1:4711").as_deref(), Some("till"));
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -77,7 +77,7 @@
     #[test]
     fn access_log_decoders_terminate_on_any_input(text in any::<String>(), line in "[ -~]{0,200}", n in 0usize..5) {
         let name = ["common", "combined", "nginx", "envoy", "apache:%{%s}t %{X}i %U%q %D \"%r\" %{ms}T"][n];
-        let format = LogFormat::named(name).expect("a format");
+        let format = LogFormat::named(name).expect("the format is valid");
         let mut timestamps = timestamp::Reader::new(TimeZone::UTC);
         let _ = format.read(&text, &mut timestamps);
         let _ = format.read(&line, &mut timestamps);
@@ -104,12 +104,12 @@
                 _ => bytes.insert(at, byte),
             }
         }
-        let mut file = tempfile::NamedTempFile::new().expect("a file");
-        file.write_all(&bytes).expect("written");
-        let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("a mapping");
-        let format = Some(indigofold_traffic::detect::Kind::AccessLog(LogFormat::named("combined").expect("a format")));
+        let mut file = tempfile::NamedTempFile::new().expect("the file is created");
+        file.write_all(&bytes).expect("the write succeeds");
+        let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("the mapping is valid");
+        let format = Some(indigofold_traffic::detect::Kind::AccessLog(LogFormat::named("combined").expect("the format is valid")));
         let options = Options { format, mapping, strict: false, max_bad: 1.0, seed: 1 };
-        let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("some lines are whole");
+        let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("at least one line is undamaged");
         prop_assert!(imported.tally.adds_up());
         let lines = bytes.split(|b| *b == b'\n').count() as u64 - u64::from(bytes.ends_with(b"\n"));
         prop_assert_eq!(imported.tally.read, lines);
@@ -117,7 +117,7 @@
 
     #[test]
     fn har_entries_do_not_depend_on_the_chunk_size(text in any::<String>(), tail in any::<Vec<u8>>(), size in 1usize..50) {
-        let body = serde_json::to_string(&text).expect("text");
+        let body = serde_json::to_string(&text).expect("the string is serialized");
         let mut bytes = format!("{{\"log\":{{\"entries\":[{{\"a\":{body}}},{{\"b\":[{body}]}}]}}}}").into_bytes();
         bytes.extend(tail);
         let read = |size: usize| {
@@ -151,17 +151,17 @@
     #[test]
     fn recordings_round_trip_and_truncation_is_detected(mut jobs in proptest::collection::vec(job(), 0..20)) {
         jobs.sort_by_key(|j| j.at);
-        let mut writer = Writer::new(Vec::new(), &Header::new(vec!["x".into()], 3)).expect("a writer");
-        jobs.iter().for_each(|j| writer.write(j).expect("written"));
-        let (bytes, end) = writer.finish(None).expect("written");
-        let mut reader = Reader::new(&bytes[..]).expect("a recording");
-        let read: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
+        let mut writer = Writer::new(Vec::new(), &Header::new(vec!["x".into()], 3)).expect("the header is written");
+        jobs.iter().for_each(|j| writer.write(j).expect("the write succeeds"));
+        let (bytes, end) = writer.finish(None).expect("the write succeeds");
+        let mut reader = Reader::new(&bytes[..]).expect("the recording is valid");
+        let read: Vec<Job> = reader.by_ref().map(|j| j.expect("the line is a valid job")).collect();
         prop_assert_eq!(reader.end, Some(end));
         prop_assert_eq!(&read, &jobs);
         // Truncation at any length is detected.
         for length in (0..bytes.len() - 1).step_by(97) {
             let read = Reader::new(&bytes[..length]).map(Iterator::collect::<Result<Vec<Job>, _>>);
-            prop_assert!(!matches!(read, Ok(Ok(_))), "cut at {length}");
+            prop_assert!(!matches!(read, Ok(Ok(_))), "truncated to {length} bytes without an error");
         }
     }
 
@@ -180,7 +180,7 @@
         let mut wanted: Vec<(i64, u64)> = Vec::new();
         for (n, job) in jobs.into_iter().enumerate() {
             wanted.push((job.at, n as u64));
-            sorter.push(attempt_of(job, n as u64, 1)).expect("sorted");
+            sorter.push(attempt_of(job, n as u64, 1)).expect("the temporary file is accessible");
         }
         wanted.sort_unstable();
         let found: Vec<(i64, u64)> = sorter.finish().expect("sorted").map(|t| t.map(|t| (t.job.at, t.seq)).expect("a try")).collect();
--- a/crates/traffic/tests/timestamps.rs
+++ b/crates/traffic/tests/timestamps.rs
@@ -4,7 +4,7 @@
 use jiff::tz::TimeZone;
 
 fn reader() -> Reader {
-    Reader::new(TimeZone::get("Europe/Lisbon").expect("a zone"))
+    Reader::new(TimeZone::get("Europe/Lisbon").expect("the time zone is known"))
 }
 
 #[test]
@@ -69,7 +69,11 @@
 fn an_ambiguous_local_time_is_resolved_by_the_preceding_records() {
     let mut r = reader();
     let mut at = |text: &str| {
-        let at = r.read(&TimeFormat::Iso, text).expect("a time").at / SECOND;
+        let at = r
+            .read(&TimeFormat::Iso, text)
+            .expect("the timestamp is valid")
+            .at
+            / SECOND;
         (at, r.was_dst())
     };
     let (first, dst) = at("2026-10-25T01:10:00");
@@ -78,8 +82,11 @@
     assert_eq!(
         at("2026-10-25T01:00:01"),
         (first + 3_001, true),
-        "the second time round"
+        "the second pass through the repeated hour"
     );
     assert_eq!(at("2026-10-25T02:00:00"), (first + 6_600, false));
-    assert!(at("2026-03-29T01:30:00").1, "this one never came");
+    assert!(
+        at("2026-03-29T01:30:00").1,
+        "a nonexistent local time is reported as well"
+    );
 }
