--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -22,14 +22,15 @@
 const JSON: &str = r#"{"time":"/ts","time-form":"seconds","target":"/path","method":"/method","status":"/status","took":"/took",
     "peer":"/ip","headers":{"x-customer":"/customer"}}"#;
 
-fn text(format: &str) -> String {
+/// Returns the text of a log or HAR document with [`RECORDS`] records.
+fn log_text(format: &str) -> String {
     let mut out = String::new();
     for n in 0..RECORDS {
         let (s, kit, ip) = (n / 300, n % 977, n % 250);
         let (m, s) = (s / 60, s % 60);
         let record = match format {
             "combined" | "common" | "nginx" => {
-                let more = if format == "common" {
+                let suffix = if format == "common" {
                     ""
                 } else {
                     " \"-\" \"office/1.0 (parish till; build 2026.11)\""
@@ -76,7 +77,7 @@
 /// Decodes lines into records, without mapping them.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json"])]
 fn decode(bencher: Bencher<'_, '_>, name: &str) {
-    let (text, format) = (text(name), log_format(name));
+    let (text, format) = (log_text(name), log_format(name));
     bencher
         .counter(BytesCount::new(text.len()))
         .counter(ItemsCount::new(RECORDS))
@@ -91,29 +92,29 @@
 /// Decodes a HAR document into records.
 #[divan::bench]
 fn decode_har(bencher: Bencher<'_, '_>) {
-    let text = text("har");
+    let text = log_text("har");
     bencher
         .counter(BytesCount::new(text.len()))
         .counter(ItemsCount::new(RECORDS))
         .bench_local(|| {
-            let (mut splitter, mut timestamps, mut good) =
+            let (mut splitter, mut timestamps, mut decoded) =
                 (Splitter::default(), Reader::new(TimeZone::UTC), 0);
             for chunk in text.as_bytes().chunks(64 * 1024) {
                 splitter.push(chunk, |element| {
                     if let Element::Entry(text) = element {
-                        good += usize::from(black_box(har::read(text, &mut timestamps)).is_ok());
+                        decoded += usize::from(black_box(har::read(text, &mut timestamps)).is_ok());
                     }
                 });
             }
-            good
+            decoded
         });
 }
 
 /// Maps decoded records to jobs.
 #[divan::bench]
 fn map_record(bencher: Bencher<'_, '_>) {
-    let (text, format) = (text("combined"), log_format("combined"));
-    let mapping = Mapping::read(MAPPING).expect("a mapping");
+    let (text, format) = (log_text("combined"), log_format("combined"));
+    let mapping = Mapping::read(MAPPING).expect("the mapping is valid");
     let mut timestamps = Reader::new(TimeZone::UTC);
     let raws: Vec<_> = text
         .lines()
@@ -130,9 +131,9 @@
 /// Imports a whole file; the recording is discarded.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json", "har"])]
 fn full_import(bencher: Bencher<'_, '_>, name: &str) {
-    let text = text(name);
-    let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(text.as_bytes()).expect("written");
+    let text = log_text(name);
+    let mut file = tempfile::NamedTempFile::new().expect("the file is created");
+    file.write_all(text.as_bytes()).expect("the write succeeds");
     let format = match name {
         "har" => Kind::Har,
         name => Kind::AccessLog(log_format(name)),
--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -16,8 +16,9 @@
 /// A directive parsed from the start of a text.
 struct Parsed<'a> {
     directive: Directive,
-    /// The time that it writes is that of the request's end.
-    end: bool,
+    /// Whether it writes the time at which the request ended.
+    time_is_end: bool,
+    /// The text after the directive.
     rest: &'a str,
 }
 
@@ -26,7 +27,7 @@
 /// # Errors
 /// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
-    let (mut builder, mut end) = (Builder::default(), false);
+    let (mut builder, mut time_is_end) = (Builder::default(), false);
     let mut rest = format;
     while let Some(at) = rest.find(['%', '\\']) {
         builder.literal(&rest[..at]);
@@ -36,7 +37,7 @@
             continue;
         }
         let parsed = parse_directive(after)?;
-        (end, rest) = (end | parsed.end, parsed.rest);
+        (time_is_end, rest) = (time_is_end | parsed.time_is_end, parsed.rest);
         match parsed.directive {
             Directive::Field(field) => builder.field(field),
             Directive::Percent => builder.literal("%"),
@@ -48,7 +49,7 @@
         }
     }
     builder.literal(rest);
-    builder.finish(Escapes::Backslash, end)
+    builder.finish(Escapes::Backslash, time_is_end)
 }
 
 /// Adds the character escaped by a backslash and returns the text after it.
@@ -79,30 +80,30 @@
     if directive == '^' {
         return Ok(Parsed {
             directive: Directive::Field(Field::Skip),
-            end: false,
+            time_is_end: false,
             rest: body.get(3..).ok_or(FormatError::EndsIn("'%^'"))?,
         });
     }
     let rest = &body[directive.len_utf8()..];
-    let (directive, end) = match (directive, argument) {
+    let (directive, time_is_end) = match (directive, argument) {
         ('%', _) => (Directive::Percent, false),
         ('t', None) => (Directive::BracketedTime, false),
         ('t', Some(argument)) => {
-            let (field, end) = time_field(argument);
-            (Directive::Field(field), end)
+            let (field, time_is_end) = time_field(argument);
+            (Directive::Field(field), time_is_end)
         }
         (directive, argument) => (Directive::Field(field(directive, argument)?), false),
     };
     Ok(Parsed {
         directive,
-        end,
+        time_is_end,
         rest,
     })
 }
 
 /// Returns the field of `%{ARGUMENT}t` and whether it is the time at which the request ended.
 fn time_field(argument: &str) -> (Field, bool) {
-    let (end, pattern) = match argument.split_once(':') {
+    let (time_is_end, pattern) = match argument.split_once(':') {
         Some(("begin", pattern)) => (false, pattern),
         Some(("end", pattern)) => (true, pattern),
         _ => (false, argument),
@@ -116,7 +117,7 @@
         "usec_frac" => Field::Fraction(6),
         pattern => Field::Time(TimeFormat::Pattern(pattern.into())),
     };
-    (field, end)
+    (field, time_is_end)
 }
 
 /// Returns the field of a directive other than `%t`.
--- a/crates/traffic/src/access_log/envoy.rs
+++ b/crates/traffic/src/access_log/envoy.rs
@@ -14,9 +14,9 @@
     while let Some(at) = rest.find('%') {
         builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
-        if let Some(behind) = after.strip_prefix('%') {
+        if let Some(tail) = after.strip_prefix('%') {
             builder.literal("%");
-            rest = behind;
+            rest = tail;
             continue;
         }
         // The syntax is %NAME(ARGUMENT):LENGTH%. The argument of START_TIME may contain '%', so it is parsed first.
--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -98,7 +98,7 @@
         let mut time = timestamps
             .read(&self.time_form.format(), &time)
             .map_err(|_| Reason::BadTime)?;
-        time.end = self.time_is_end;
+        time.is_end = self.time_is_end;
         let mut raw = RawRecord {
             time: Some(time),
             status: status(optional(&self.status).as_deref())?,
@@ -110,11 +110,11 @@
         raw.user = optional(&self.user).map(Cow::Owned);
         if let Some(took) = optional(&self.took) {
             raw.took = duration(&took, self.took_unit.micros());
-            raw.odd_number |= raw.took.is_none();
+            raw.has_unreadable_number |= raw.took.is_none();
         }
         if let Some(received) = optional(&self.received) {
             raw.received = received.parse().ok();
-            raw.odd_number |= raw.received.is_none();
+            raw.has_unreadable_number |= raw.received.is_none();
         }
         for (name, pointer) in &self.headers {
             if let Some(value) = text(pointer) {
--- a/crates/traffic/src/access_log/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -14,7 +14,7 @@
     while let Some(at) = rest.find('$') {
         builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
-        let name = |c: char| c.is_ascii_alphanumeric() || c == '_';
+        let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '_';
         let variable = match after.strip_prefix('{') {
             Some(inner) => {
                 let close = inner.find('}').ok_or(FormatError::Unclosed("a '${'"))?;
@@ -22,12 +22,12 @@
                 &inner[..close]
             }
             None => {
-                let end = after.find(|c| !name(c)).unwrap_or(after.len());
+                let end = after.find(|c| !is_name_char(c)).unwrap_or(after.len());
                 rest = &after[end..];
                 &after[..end]
             }
         };
-        if variable.is_empty() || !variable.chars().all(name) {
+        if variable.is_empty() || !variable.chars().all(is_name_char) {
             return Err(FormatError::InvalidVariable(variable.into()));
         }
         builder.field(field(variable));
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -59,8 +59,8 @@
 pub struct Template {
     segments: Vec<Segment>,
     escapes: Escapes,
-    /// Stamps are of the request's end.
-    end: bool,
+    /// Whether the logged time is the end of the request.
+    time_is_end: bool,
 }
 
 /// Builds a [`Template`] segment by segment.
@@ -86,22 +86,26 @@
     /// Checks the segments and returns the template. `time_is_end`: the logged time is the end of the request.
     ///
     /// # Errors
-    /// Two fields have no text between them; there is no time; there is no request.
-    pub fn finish(mut self, escapes: Escapes, end: bool) -> Result<Template, FormatError> {
+    /// Two fields have no text between them, or there is no time or no request.
+    pub fn finish(mut self, escapes: Escapes, time_is_end: bool) -> Result<Template, FormatError> {
         self.segments
             .retain(|p| !matches!(p, Segment::Literal(text) if text.is_empty()));
-        let fields = |p: &Segment| matches!(p, Segment::Field(_));
-        // Some texts are empty more often than not, and stand right behind another: path and query are one.
-        let joined = |pair: &[Segment]| {
+        let is_field = |p: &Segment| matches!(p, Segment::Field(_));
+        // A query directly after the path is read as part of the target, as both are one URL.
+        let is_path_with_query = |pair: &[Segment]| {
             matches!(
                 pair,
                 [Segment::Field(Field::Target), Segment::Field(Field::Query)]
             )
         };
-        while let Some(n) = self.segments.windows(2).position(joined) {
+        while let Some(n) = self.segments.windows(2).position(is_path_with_query) {
             self.segments.remove(n + 1);
         }
-        if self.segments.windows(2).any(|pair| pair.iter().all(fields)) {
+        if self
+            .segments
+            .windows(2)
+            .any(|pair| pair.iter().all(is_field))
+        {
             return Err(FormatError::AdjacentFields);
         }
         let has = |wanted: &dyn Fn(&Field) -> bool| {
@@ -118,7 +122,7 @@
         Ok(Template {
             segments: self.segments,
             escapes,
-            end,
+            time_is_end,
         })
     }
 }
@@ -224,14 +228,14 @@
 
     fn set_received(&mut self, value: &str) {
         self.raw.received = value.parse().ok();
-        self.raw.odd_number |= self.raw.received.is_none();
+        self.raw.has_unreadable_number |= self.raw.received.is_none();
     }
 
     /// Sets the duration. Of two durations in a record, the first is kept unless it is a whole number of seconds, because
     /// the second may be more precise then.
     fn set_duration(&mut self, value: &str, unit: Micros) {
         let took = duration(value, unit);
-        self.raw.odd_number |= took.is_none();
+        self.raw.has_unreadable_number |= took.is_none();
         self.raw.took = match (self.raw.took, took) {
             (Some(a), Some(b)) => Some(if a % 1_000_000 == 0 { b } else { a }),
             (a, b) => a.or(b),
@@ -250,7 +254,7 @@
         timestamps: &mut Reader,
     ) -> Result<RawRecord<'a>, Reason> {
         let (mut builder, mut at, bytes) = (RecordBuilder::default(), 0, record.as_bytes());
-        let mut before: &[u8] = &[];
+        let mut preceding: &[u8] = &[];
         for (n, segment) in self.segments.iter().enumerate() {
             match segment {
                 Segment::Literal(text) => {
@@ -258,10 +262,10 @@
                         return Err(Reason::Malformed);
                     }
                     at += text.len();
-                    before = text;
+                    preceding = text;
                 }
                 Segment::Field(field) => {
-                    let end = self.field_end(n, &bytes[at..], before)?;
+                    let end = self.field_end(n, &bytes[at..], preceding)?;
                     let value = record.get(at..at + end).ok_or(Reason::Malformed)?;
                     at += end;
                     self.read_field(&mut builder, field, value, timestamps)?;
@@ -274,11 +278,12 @@
         Ok(builder.finish())
     }
 
-    /// The length of the value of field `n`, of which `rest` is the record from its first byte on.
-    fn field_end(&self, n: usize, rest: &[u8], before: &[u8]) -> Result<usize, Reason> {
+    /// Returns the length of the value of segment `n`. `rest` is the record from the start of the value on, `preceding` the
+    /// literal before it.
+    fn field_end(&self, n: usize, rest: &[u8], preceding: &[u8]) -> Result<usize, Reason> {
         match self.segments.get(n + 1) {
             Some(Segment::Literal(next)) => {
-                let quoted = before.last() == Some(&b'"') && next.first() == Some(&b'"');
+                let quoted = preceding.last() == Some(&b'"') && next.first() == Some(&b'"');
                 value_end(rest, next, quoted, self.escapes).ok_or(Reason::Malformed)
             }
             _ => Ok(rest.len()),
@@ -300,7 +305,7 @@
                     .read(format, value)
                     .map_err(|_| Reason::BadTime)?;
                 builder.set_time(RecordedTime {
-                    end: self.end,
+                    is_end: self.time_is_end,
                     ..time
                 });
             }
@@ -380,18 +385,18 @@
 /// Parses a duration in a unit of this many microseconds. nginx lists several durations, one for each upstream server
 /// tried; their sum is returned.
 pub fn duration(text: &str, unit: Micros) -> Option<Micros> {
-    let one = |text: &str| {
+    let parse_one = |text: &str| {
         let value: f64 = text.trim().parse().ok()?;
         (value.is_finite() && (0.0..1e9).contains(&value))
             .then(|| (value * unit as f64).round() as Micros)
     };
-    if let Some(value) = one(text) {
+    if let Some(value) = parse_one(text) {
         return Some(value);
     }
     let durations: Vec<Micros> = text
         .split([',', ':'])
         .filter(|p| p.trim() != "-")
-        .map(one)
+        .map(parse_one)
         .collect::<Option<_>>()?;
     (!durations.is_empty()).then(|| durations.iter().sum())
 }
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -26,7 +26,7 @@
     JsonWithoutFields,
     /// No line matches a known format.
     #[error(
-        "its form is none that is known by itself: name it with --format, as common, combined, nginx, envoy, json, har, \
+        "the format cannot be detected: name it with --format as common, combined, nginx, envoy, json, har, \
          recording, or apache:FORMAT, nginx:FORMAT, envoy:FORMAT"
     )]
     Unknown,
@@ -73,13 +73,13 @@
     for name in ["combined", "common", "nginx", "envoy"] {
         let format = LogFormat::named(name)?;
         let mut timestamps = Reader::new(TimeZone::UTC);
-        let fits = text
+        let matches = text
             .lines()
             .take(MAX_SAMPLES)
             .filter(|line| format.read(line, &mut timestamps).is_ok())
             .count();
-        if fits > best.as_ref().map_or(0, |b| b.0) {
-            best = Some((fits, format));
+        if matches > best.as_ref().map_or(0, |b| b.0) {
+            best = Some((matches, format));
         }
     }
     best.map(|(_, format)| Kind::AccessLog(format))
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -11,7 +11,7 @@
 mod open_jobs;
 mod waits;
 
-use crate::job::{Evidence, Job, Micros, Retry, done};
+use crate::job::{Evidence, Job, Micros, Retry, is_success};
 use crate::order::Attempt;
 use crate::tally::{Remark, Tally};
 use open_jobs::{EndTime, KeyKind, MatchKeys, OpenJob, OpenJobs};
@@ -63,17 +63,18 @@
     number: u64,
     evidence: Evidence,
     confidence: f32,
-    /// The wait before the retry is one to learn from.
-    learn: bool,
+    /// Whether the assignment is sure enough to add the wait before the retry to the histogram.
+    learn_wait: bool,
 }
 
-/// The likeliest of several jobs.
-struct Likeliest {
+/// The most likely of several candidate jobs.
+struct LikeliestJob {
+    /// Number of the job in [`OpenJobs`].
     number: u64,
     /// Its probability relative to the other candidates, 0 to 1.
     probability: f32,
-    /// There is no other.
-    alone: bool,
+    /// Whether it is the only candidate.
+    only_candidate: bool,
 }
 
 /// Assigns attempts to jobs and emits each job with its retries.
@@ -110,7 +111,7 @@
         let keys = MatchKeys::new(&attempt.job, request_id);
         match self.find_job(&attempt, &keys) {
             Some(found) => {
-                if found.learn {
+                if found.learn_wait {
                     let end = self.open.get(found.number).end;
                     self.waits.learn(attempt.job.at - end.earliest);
                 }
@@ -120,9 +121,9 @@
             None => {
                 tally.taken += 1;
                 if attempt.marked {
-                    tally.remark_only(Remark::Orphan, 1);
+                    tally.remark_count(Remark::Orphan, 1);
                 }
-                self.begin(attempt, keys);
+                self.open_job(attempt, keys);
             }
         }
         self.close_jobs(false, &mut out);
@@ -134,7 +135,7 @@
     }
 
     /// Opens a job with its first attempt.
-    fn begin(&mut self, attempt: Attempt, keys: MatchKeys) {
+    fn open_job(&mut self, attempt: Attempt, keys: MatchKeys) {
         if let Some(subject) = keys.get(KeyKind::Subject) {
             if self.jobs_of_subject.len() > MAX_COUNTED_SUBJECTS {
                 self.jobs_of_subject.clear();
@@ -143,14 +144,14 @@
             *self.jobs_of_subject.entry(subject).or_default() += 1;
         }
         let end = end_of(&attempt.job, attempt.job.deadline);
-        let served = done(attempt.job.status);
-        let closes = end.latest + self.retry_window(served, &keys);
+        let succeeded = is_success(attempt.job.status);
+        let closes_at = end.latest + self.retry_window(succeeded, &keys);
         self.open.push(OpenJob {
             job: attempt.job,
             end,
             resolution: attempt.resolution,
-            served,
-            closes,
+            succeeded,
+            closes_at,
             keys,
         });
     }
@@ -159,8 +160,8 @@
     fn add_retry(&mut self, found: &Match, attempt: &Attempt) {
         let open = self.open.get(found.number);
         let end = end_of(&attempt.job, attempt.job.deadline.or(open.job.deadline));
-        let served = done(attempt.job.status);
-        let window = self.retry_window(served, &open.keys);
+        let succeeded = is_success(attempt.job.status);
+        let window = self.retry_window(succeeded, &open.keys);
         let open = self.open.get_mut(found.number);
         open.job.retries.push(Retry {
             at: attempt.job.at,
@@ -170,12 +171,13 @@
             confidence: found.confidence,
         });
         (open.end, open.resolution) = (end, attempt.resolution);
-        (open.served, open.closes) = (served, end.latest + window);
+        (open.succeeded, open.closes_at) = (succeeded, end.latest + window);
     }
 
-    /// How long after its end a job may still get a retry.
-    fn retry_window(&self, served: bool, keys: &MatchKeys) -> Micros {
-        match (keys.has_exact(), served) {
+    /// Returns how long after the end of its last attempt a job may still get a retry.
+    fn retry_window(&self, succeeded: bool, keys: &MatchKeys) -> Micros {
+        match (keys.has_exact(), succeeded) {
+            // Also after a success: the response may have been logged as sent without reaching the client.
             (true, _) => KEYED_RETRY_WINDOW,
             (false, true) => 0,
             (false, false) if self.rules.marks => MARKED_RETRY_WINDOW,
@@ -201,27 +203,27 @@
             .find_map(|kind| {
                 self.open.matching(keys, kind).find(|number| {
                     let open = self.open.get(*number);
-                    open.closes >= attempt.job.at && self.may_retry(open)
+                    open.closes_at >= attempt.job.at && self.may_retry(open)
                 })
             })?;
         Some(Match {
             number,
             evidence: Evidence::Key,
             confidence: KEY_CONFIDENCE,
-            learn: false,
+            learn_wait: false,
         })
     }
 
     /// Finds the job of a marked retry among the client's failed jobs about the same subject, or else about any subject.
     fn find_by_marker(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
-        for (kind, learn) in [(KeyKind::Subject, true), (KeyKind::Client, false)] {
-            let fitting = self.failed_jobs(attempt, keys, kind, MARKED_RETRY_WINDOW);
-            if let Some(found) = self.likeliest(attempt.job.at, &fitting) {
+        for (kind, may_learn) in [(KeyKind::Subject, true), (KeyKind::Client, false)] {
+            let candidates = self.failed_jobs(attempt, keys, kind, MARKED_RETRY_WINDOW);
+            if let Some(found) = self.likeliest(attempt.job.at, &candidates) {
                 return Some(Match {
                     number: found.number,
                     evidence: Evidence::Marker,
                     confidence: found.probability,
-                    learn: found.alone && learn,
+                    learn_wait: found.only_candidate && may_learn,
                 });
             }
         }
@@ -230,19 +232,19 @@
 
     /// Guesses the job of an attempt without key or marker among the client's failed jobs about the same subject.
     fn guess(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
-        let within = self.rules.guess_within;
-        if within == 0 || attempt.job.key.is_some() || self.rules.marks {
+        let window = self.rules.guess_within;
+        if window == 0 || attempt.job.key.is_some() || self.rules.marks {
             return None;
         }
-        let fitting = self.failed_jobs(attempt, keys, KeyKind::Subject, within);
-        let found = self.likeliest(attempt.job.at, &fitting)?;
+        let candidates = self.failed_jobs(attempt, keys, KeyKind::Subject, window);
+        let found = self.likeliest(attempt.job.at, &candidates)?;
         let wait = attempt.job.at - self.open.get(found.number).end.earliest;
         let confidence = self.retry_probability(keys.get(KeyKind::Subject)?, wait);
         (confidence >= MIN_GUESS_CONFIDENCE).then_some(Match {
             number: found.number,
             evidence: Evidence::Guess,
             confidence: confidence * found.probability,
-            learn: found.alone && confidence > LEARNING_CONFIDENCE,
+            learn_wait: found.only_candidate && confidence > LEARNING_CONFIDENCE,
         })
     }
 
@@ -258,18 +260,18 @@
         attempt: &Attempt,
         keys: &MatchKeys,
         kind: KeyKind,
-        within: Micros,
+        window: Micros,
     ) -> SmallVec<[u64; 4]> {
         let at = attempt.job.at;
         let fits = |open: &OpenJob| {
             let tolerance = open.resolution + attempt.resolution + REORDERING_TOLERANCE;
             // Two different keys: equal ones are matched by `find_by_key` before.
             let other_key = open.job.key.is_some() && attempt.job.key.is_some();
-            !open.served
+            !open.succeeded
                 && !other_key
                 && self.may_retry(open)
                 && open.end.earliest <= at + tolerance
-                && at <= open.end.latest + within + tolerance
+                && at <= open.end.latest + window + tolerance
         };
         self.open
             .matching(keys, kind)
@@ -277,35 +279,35 @@
             .collect()
     }
 
-    /// The job of which the wait before `at` is the likeliest.
-    fn likeliest(&self, at: Micros, fitting: &[u64]) -> Option<Likeliest> {
+    /// Returns the candidate for which the wait until `at` is the most likely one.
+    fn likeliest(&self, at: Micros, candidates: &[u64]) -> Option<LikeliestJob> {
         let density = |number: u64| self.waits.density(at - self.open.get(number).end.earliest);
-        let all: f64 = fitting.iter().map(|number| density(*number)).sum();
-        let number = fitting
+        let total: f64 = candidates.iter().map(|number| density(*number)).sum();
+        let number = candidates
             .iter()
             .copied()
             .max_by(|a, b| density(*a).total_cmp(&density(*b)))?;
-        Some(Likeliest {
+        Some(LikeliestJob {
             number,
-            probability: (density(number) / all) as f32,
-            alone: fitting.len() == 1,
+            probability: (density(number) / total) as f32,
+            only_candidate: candidates.len() == 1,
         })
     }
 
     /// Returns the probability that an attempt made `wait` after the end of a failed one is its retry and not another job
     /// of the same client about the same subject.
     fn retry_probability(&self, subject: u64, wait: Micros) -> f32 {
-        let counted_for = (self.now - self.counting_since.unwrap_or(self.now)).max(1) as f64;
+        let counting_time = (self.now - self.counting_since.unwrap_or(self.now)).max(1) as f64;
         let jobs = self.jobs_of_subject.get(&subject).copied().unwrap_or(1);
         let others = jobs.saturating_sub(1) as f64 + 0.1;
-        let by_chance = 1.0 - (-others / counted_for * wait.max(MIN_GUESS_WAIT) as f64).exp();
+        let by_chance = 1.0 - (-others / counting_time * wait.max(MIN_GUESS_WAIT) as f64).exp();
         (RETRY_PROBABILITY / (RETRY_PROBABILITY + by_chance)) as f32
     }
 
     /// Passes the jobs that can get no more retries to `out`, oldest first; every open job if `all` is set.
     fn close_jobs(&mut self, all: bool, out: &mut impl FnMut(Job)) {
         while let Some(oldest) = self.open.oldest() {
-            if !all && oldest.closes >= self.now && self.open.len() <= MAX_OPEN_JOBS {
+            if !all && oldest.closes_at >= self.now && self.open.len() <= MAX_OPEN_JOBS {
                 break;
             }
             let Some(job) = self.open.pop_oldest() else {
--- a/crates/traffic/src/fold/open_jobs.rs
+++ b/crates/traffic/src/fold/open_jobs.rs
@@ -70,9 +70,10 @@
     pub end: EndTime,
     /// Resolution of its timestamp.
     pub resolution: Micros,
-    pub served: bool,
-    /// The last time at which a retry can begin.
-    pub closes: Micros,
+    /// Whether it got a successful response.
+    pub succeeded: bool,
+    /// Latest time at which a retry can begin.
+    pub closes_at: Micros,
     pub keys: MatchKeys,
 }
 
--- a/crates/traffic/src/har/entry.rs
+++ b/crates/traffic/src/har/entry.rs
@@ -90,7 +90,7 @@
 fn status(status: Option<f64>) -> Result<Option<u16>, Reason> {
     match status {
         None => Ok(None),
-        Some(none) if none <= 0.0 => Ok(None),
+        Some(absent) if absent <= 0.0 => Ok(None),
         Some(status) if (100.0..600.0).contains(&status) => Ok(Some(status as u16)),
         Some(_) => Err(Reason::BadStatus),
     }
--- a/crates/traffic/src/har/splitter.rs
+++ b/crates/traffic/src/har/splitter.rs
@@ -40,8 +40,8 @@
 }
 
 impl Splitter {
-    /// Takes a chunk of the document and hands out the entries that end in it.
-    pub fn push(&mut self, bytes: &[u8], mut each: impl FnMut(Element<'_>)) {
+    /// Processes a chunk of the document and passes each entry that ends in it to `emit`.
+    pub fn push(&mut self, bytes: &[u8], mut emit: impl FnMut(Element<'_>)) {
         let mut rest = bytes;
         while let Some((&byte, after)) = rest.split_first() {
             match self.state {
@@ -56,7 +56,7 @@
                         continue;
                     }
                     if self.scanner.push(byte) {
-                        self.end_entry(&mut each);
+                        self.end_entry(&mut emit);
                     }
                 }
                 ParserState::Before => {}
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Hands out the entry that has ended.
-    fn end_entry(&mut self, each: &mut impl FnMut(Element<'_>)) {
+    /// Passes the completed entry to `emit`.
+    fn end_entry(&mut self, emit: &mut impl FnMut(Element<'_>)) {
         self.state = ParserState::Between;
-        each(match self.scanner.is_too_long() {
+        emit(match self.scanner.is_too_long() {
             false => Element::Entry(self.scanner.text()),
             true => Element::TooLong(self.scanner.text()),
         });
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -58,7 +58,7 @@
     paths: &[PathBuf],
     options: &Options,
     out: impl Write,
-    read: &Arc<AtomicU64>,
+    bytes_read: &Arc<AtomicU64>,
 ) -> Result<Imported, ImportError> {
     let mut files = Vec::new();
     for path in paths {
@@ -68,7 +68,7 @@
     let mut intake = Intake::new(options, paths.len());
     let mut made_of = Vec::new();
     for (n, file) in files.into_iter().enumerate() {
-        made_of.push(intake.read_file(&file, n as u32, read)?);
+        made_of.push(intake.read_file(&file, n as u32, bytes_read)?);
     }
     let (sorter, mut tally) = intake.finish();
     check_ratio_of_bad_records(&tally, options.max_bad)?;
@@ -108,7 +108,7 @@
     if let Some(error) = failed {
         return Err(write_error(error));
     }
-    tally.remark_only(Remark::Spread, attempts.spread);
+    tally.remark_count(Remark::Spread, attempts.spread);
     Ok(writer)
 }
 
@@ -150,8 +150,8 @@
     }
 }
 
-/// Does the error say that a compressed file is truncated, or damaged from here on?
-fn is_broken_off(error: &io::Error) -> bool {
+/// Returns true if the error means that a compressed file is truncated, or damaged from here on.
+fn is_damaged_data(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidData, InvalidInput, Other, UnexpectedEof};
     matches!(
         error.kind(),
--- a/crates/traffic/src/import/duplicates.rs
+++ b/crates/traffic/src/import/duplicates.rs
@@ -14,7 +14,7 @@
     /// Returns true if a record with this hash was read before; otherwise remembers it. Unless `in_same_file` is set, only
     /// records of other files count as duplicates.
     pub(super) fn is_duplicate(&mut self, hash: u64, file: u32, in_same_file: bool) -> bool {
-        if let Some(first) = self.0.iter().find_map(|half| half.get(&hash)) {
+        if let Some(first) = self.0.iter().find_map(|generation| generation.get(&hash)) {
             return in_same_file || *first != file;
         }
         if self.0[0].len() >= MAX_RECENT_RECORDS {
--- a/crates/traffic/src/import/intake.rs
+++ b/crates/traffic/src/import/intake.rs
@@ -160,7 +160,7 @@
     }
 
     fn push(&mut self, attempt: Attempt) -> io::Result<()> {
-        self.tally.pass();
+        self.tally.accept();
         self.seq += 1;
         let seq = self.seq;
         self.sorter.push(Attempt { seq, ..attempt })
@@ -189,7 +189,7 @@
             (Some(latest), _) if at > latest + MIN_GAP => {
                 self.remark(Remark::Gap, origin.position, origin.text);
             }
-            (_, Some(previous)) if at < previous => self.tally.remark_only(Remark::Reordered, 1),
+            (_, Some(previous)) if at < previous => self.tally.remark_count(Remark::Reordered, 1),
             _ => {}
         }
         self.latest = Some(self.latest.map_or(at, |latest| latest.max(at)));
--- a/crates/traffic/src/import/probe.rs
+++ b/crates/traffic/src/import/probe.rs
@@ -2,7 +2,7 @@
 
 use super::error::ImportError;
 use super::record_reader::MAX_RECORD_BYTES;
-use super::{Options, file_error, is_broken_off};
+use super::{Options, file_error, is_damaged_data};
 use crate::detect::{Kind, detect};
 use crate::job::Micros;
 use crate::source;
@@ -51,10 +51,10 @@
 /// Returns the beginning of a file, decompressed.
 fn read_head(path: &Path) -> Result<Vec<u8>, ImportError> {
     let error = file_error(path);
-    let from = source::open(path, Arc::default()).map_err(&error)?;
+    let input = source::open(path, Arc::default()).map_err(&error)?;
     let mut head = Vec::new();
-    match from.take(MAX_RECORD_BYTES as u64).read_to_end(&mut head) {
-        Err(e) if !is_broken_off(&e) => Err(error(e)),
+    match input.take(MAX_RECORD_BYTES as u64).read_to_end(&mut head) {
+        Err(e) if !is_damaged_data(&e) => Err(error(e)),
         _ => Ok(head),
     }
 }
--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -4,7 +4,7 @@
 use super::intake::{Intake, Origin};
 use super::probe::ProbedFile;
 use super::record_reader::{RecordRead, RecordReader};
-use super::{file_error, is_broken_off};
+use super::{file_error, is_damaged_data};
 use crate::access_log::LogFormat;
 use crate::detect::Kind;
 use crate::har::{self, Element, Splitter};
@@ -47,22 +47,22 @@
         &mut self,
         file: &ProbedFile<'_>,
         index: u32,
-        read: &Arc<AtomicU64>,
+        bytes_read: &Arc<AtomicU64>,
     ) -> Result<String, ImportError> {
         let path = file.path;
         let name = path.file_name().map_or_else(
             || path.display().to_string(),
             |name| name.to_string_lossy().into_owned(),
         );
-        let mut from = source::open(path, read.clone()).map_err(file_error(path))?;
+        let mut input = source::open(path, bytes_read.clone()).map_err(file_error(path))?;
         self.begin_file();
         let id = FileId { name: &name, index };
         match &file.kind {
             Kind::AccessLog(format) => self
-                .read_access_log(format, &mut *from, id)
+                .read_access_log(format, &mut *input, id)
                 .map_err(file_error(path))?,
-            Kind::Har => self.read_har(&mut *from, id, &file_error(path))?,
-            Kind::Recording => self.read_recording(&mut *from, id)?,
+            Kind::Har => self.read_har(&mut *input, id, &file_error(path))?,
+            Kind::Recording => self.read_recording(&mut *input, id)?,
         }
         self.take_failure()?;
         Ok(name)
@@ -71,7 +71,7 @@
     fn read_access_log(
         &mut self,
         format: &LogFormat,
-        from: &mut dyn BufRead,
+        input: &mut dyn BufRead,
         file: FileId<'_>,
     ) -> io::Result<()> {
         let mut decoder = RecordDecoder {
@@ -79,7 +79,7 @@
             timestamps: self.timestamps(),
             latin1: String::new(),
         };
-        let mut records = RecordReader::new(from);
+        let mut records = RecordReader::new(input);
         let mut line = 0;
         while let Some(read) = records.next()? {
             line += 1;
@@ -94,7 +94,7 @@
                 RecordRead::TooLong(text) => {
                     self.reject(Reason::TooLong, file.position(line), text);
                 }
-                RecordRead::BrokenOff(text) => {
+                RecordRead::Damaged(text) => {
                     self.reject(Reason::Truncated, file.position(line), text);
                     return Ok(());
                 }
@@ -113,7 +113,7 @@
         unterminated: bool,
     ) -> io::Result<()> {
         let bytes = origin.text;
-        if let Some(reason) = rejected_unread(bytes) {
+        if let Some(reason) = precheck_record(bytes) {
             self.reject(reason, origin.position, bytes);
             return Ok(());
         }
@@ -144,16 +144,16 @@
 
     fn read_har(
         &mut self,
-        from: &mut dyn BufRead,
+        input: &mut dyn BufRead,
         file: FileId<'_>,
         io: &dyn Fn(io::Error) -> ImportError,
     ) -> Result<(), ImportError> {
         let mut timestamps = self.timestamps();
         let (mut splitter, mut entry, mut failed) = (Splitter::default(), 0, None);
         loop {
-            let bytes = match from.fill_buf() {
+            let bytes = match input.fill_buf() {
                 Ok(bytes) => bytes,
-                Err(e) if is_broken_off(&e) => break,
+                Err(e) if is_damaged_data(&e) => break,
                 Err(e) => return Err(io(e)),
             };
             let used = bytes.len();
@@ -173,7 +173,7 @@
                     }
                 }
             });
-            from.consume(used);
+            input.consume(used);
             if let Some(e) = failed {
                 return Err(io(e));
             }
@@ -202,10 +202,11 @@
 
     fn read_recording(
         &mut self,
-        from: &mut dyn BufRead,
+        input: &mut dyn BufRead,
         file: FileId<'_>,
     ) -> Result<(), ImportError> {
-        let reader = recording::Reader::new(from).map_err(|e| ImportError::format(file.name, e))?;
+        let reader =
+            recording::Reader::new(input).map_err(|e| ImportError::format(file.name, e))?;
         for job in reader {
             let job = job.map_err(|e| ImportError::format(file.name, e))?;
             self.take_job(job).map_err(|source| ImportError::File {
@@ -225,8 +226,8 @@
     latin1: String,
 }
 
-/// Why a record is rejected by its bytes alone.
-fn rejected_unread(bytes: &[u8]) -> Option<Reason> {
+/// Returns the reason to reject a record before it is decoded: it is blank, a comment or binary.
+fn precheck_record(bytes: &[u8]) -> Option<Reason> {
     if bytes.iter().all(u8::is_ascii_whitespace) {
         Some(Reason::Blank)
     } else if bytes[0] == b'#' {
--- a/crates/traffic/src/import/record_reader.rs
+++ b/crates/traffic/src/import/record_reader.rs
@@ -1,6 +1,6 @@
 //! Splits a file into records, one per line, in bounded memory.
 
-use super::is_broken_off;
+use super::is_damaged_data;
 use memchr::memchr;
 use std::io::{self, BufRead};
 
@@ -19,8 +19,8 @@
     },
     /// A record that is too long; holds its beginning.
     TooLong(&'a [u8]),
-    /// The compressed file breaks off within this record.
-    BrokenOff(&'a [u8]),
+    /// The compressed file is truncated or damaged within this record; holds the part read so far.
+    Damaged(&'a [u8]),
 }
 
 /// A record that spans several buffers.
@@ -52,7 +52,7 @@
 
 /// Reads records. A record that lies completely in the buffer is not copied.
 pub(super) struct RecordReader<'a> {
-    from: &'a mut dyn BufRead,
+    input: &'a mut dyn BufRead,
     partial: PartialRecord,
     /// Whether the partial record is complete and was returned, so that it is cleared by the next call.
     partial_done: bool,
@@ -61,9 +61,9 @@
 }
 
 impl<'a> RecordReader<'a> {
-    pub(super) fn new(from: &'a mut dyn BufRead) -> Self {
+    pub(super) fn new(input: &'a mut dyn BufRead) -> Self {
         RecordReader {
-            from,
+            input,
             partial: PartialRecord::default(),
             partial_done: false,
             used: 0,
@@ -75,15 +75,15 @@
     /// # Errors
     /// The file cannot be read, for a reason other than damaged compressed data.
     pub(super) fn next(&mut self) -> io::Result<Option<RecordRead<'_>>> {
-        self.from.consume(std::mem::take(&mut self.used));
+        self.input.consume(std::mem::take(&mut self.used));
         if std::mem::take(&mut self.partial_done) {
             self.partial.clear();
         }
         loop {
-            let buffer = match self.from.fill_buf() {
+            let buffer = match self.input.fill_buf() {
                 Ok(buffer) => buffer,
-                Err(e) if is_broken_off(&e) => {
-                    return Ok(Some(RecordRead::BrokenOff(&self.partial.bytes)));
+                Err(e) if is_damaged_data(&e) => {
+                    return Ok(Some(RecordRead::Damaged(&self.partial.bytes)));
                 }
                 Err(e) => return Err(e),
             };
@@ -96,7 +96,7 @@
             let used = newline.map_or(length, |at| at + 1);
             if newline.is_some() && self.partial.is_empty() {
                 self.used = used;
-                let bytes = &self.from.fill_buf()?[..length];
+                let bytes = &self.input.fill_buf()?[..length];
                 return Ok(Some(match length > MAX_RECORD_BYTES {
                     true => RecordRead::TooLong(bytes),
                     false => RecordRead::Complete {
@@ -106,7 +106,7 @@
                 }));
             }
             self.partial.extend(&buffer[..length]);
-            self.from.consume(used);
+            self.input.consume(used);
             if newline.is_some() || ended {
                 self.partial_done = true;
                 return Ok(Some(match self.partial.too_long {
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -67,8 +67,8 @@
     Guess,
 }
 
-/// Was the job done, by its status?
-pub fn done(status: u16) -> bool {
+/// Returns true for a success or redirection status (200 to 399).
+pub fn is_success(status: u16) -> bool {
     (200..400).contains(&status)
 }
 
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -12,7 +12,7 @@
 
 use crate::document;
 use crate::job::{Job, Micros, number};
-use crate::networks::{Networks, address, client};
+use crate::networks::{Networks, forwarded_client, parse_address};
 use crate::raw::RawRecord;
 use crate::tally::{Reason, Remark};
 use crate::timestamp::RecordedTime;
@@ -110,17 +110,17 @@
             networks: &self.networks,
         };
         let rules = &self.extractors;
-        let class = names.name(&context.first(&rules.class).ok_or(Reason::NoClass)?);
+        let class = names.intern(&context.first_value(&rules.class).ok_or(Reason::NoClass)?);
         let parish = self.parish(&context, names)?;
         let numbers = self.numbers(&context, &class, &mut remarks);
-        let at = start_of(raw, time, &mut remarks);
+        let at = start_time(raw, time, &mut remarks);
         Ok(MappedRecord {
             job: Job {
                 at,
                 class,
                 parish,
-                subject: text(context.first(&rules.subject)).unwrap_or_default(),
-                key: text(context.first(&rules.key)),
+                subject: text(context.first_value(&rules.subject)).unwrap_or_default(),
+                key: text(context.first_value(&rules.key)),
                 deadline: numbers.deadline,
                 bytes: raw.received.unwrap_or(0),
                 slots: numbers.slots,
@@ -130,8 +130,12 @@
                 retries: Vec::new(),
             },
             resolution: time.resolution,
-            id: context.first(&rules.id).map_or(0, |id| number(&id).max(1)),
-            marked: context.first(&rules.retry_marker).is_some_and(is_marked),
+            id: context
+                .first_value(&rules.id)
+                .map_or(0, |id| number(&id).max(1)),
+            marked: context
+                .first_value(&rules.retry_marker)
+                .is_some_and(is_marked),
             remarks,
         })
     }
@@ -156,17 +160,17 @@
         context: &RecordContext<'_>,
         names: &mut NameInterner,
     ) -> Result<Arc<str>, Reason> {
-        match context.first(&self.extractors.parish) {
-            Some(name) => Ok(names.name(&name)),
+        match context.first_value(&self.extractors.parish) {
+            Some(name) => Ok(names.intern(&name)),
             None if self.file.parish_required => Err(Reason::NoParish),
-            None => Ok(names.name("")),
+            None => Ok(names.intern("")),
         }
     }
 
     /// Returns the client's address, which may be forwarded by trusted proxies; `None`: the log has no readable peer address.
     fn client_address(&self, raw: &RawRecord<'_>, remarks: &mut Vec<Remark>) -> Option<IpAddr> {
-        let peer = address(raw.peer.as_deref()?)?;
-        match client(peer, raw.header("x-forwarded-for"), &self.trusted) {
+        let peer = parse_address(raw.peer.as_deref()?)?;
+        match forwarded_client(peer, raw.header("x-forwarded-for"), &self.trusted) {
             Ok(address) => Some(address),
             Err(last_readable) => {
                 remarks.push(Remark::BadForwarded);
@@ -182,11 +186,11 @@
         class: &str,
         remarks: &mut Vec<Remark>,
     ) -> JobNumbers {
-        let mut unreadable = context.raw.odd_number;
-        let mut positive = |extractors: &[Extractor], most: f64| {
-            let text = context.first(extractors)?;
+        let mut unreadable = context.raw.has_unreadable_number;
+        let mut positive = |extractors: &[Extractor], max: f64| {
+            let text = context.first_value(extractors)?;
             let value = text.trim().parse::<f64>().ok();
-            let value = value.filter(|v| v.is_finite() && *v > 0.0 && *v <= most);
+            let value = value.filter(|v| v.is_finite() && *v > 0.0 && *v <= max);
             unreadable |= value.is_none();
             value
         };
@@ -220,13 +224,14 @@
     value.map(Cow::into_owned)
 }
 
-/// When the request began; where the log has the time of its end, by its duration.
-fn start_of(raw: &RawRecord<'_>, time: RecordedTime, remarks: &mut Vec<Remark>) -> Micros {
+/// Returns the start time of a request. If the log has the time of its end, the duration is subtracted; without a duration
+/// the end time is used.
+fn start_time(raw: &RawRecord<'_>, time: RecordedTime, remarks: &mut Vec<Remark>) -> Micros {
     if raw.status.is_none() {
         remarks.push(Remark::NoAnswer);
     }
     match raw.took {
-        Some(took) if time.end => return time.at - took,
+        Some(took) if time.is_end => return time.at - took,
         None if raw.status.is_some() => remarks.push(Remark::NoDuration),
         _ => {}
     }
--- a/crates/traffic/src/mapping/compile.rs
+++ b/crates/traffic/src/mapping/compile.rs
@@ -25,8 +25,13 @@
         }
     }
 
-    /// The rules that can be compiled, of the entry of this name.
-    fn compile(&mut self, entry: &str, rules: &[Rule], networks: &Networks) -> Vec<Extractor> {
+    /// Compiles the rules of the named entry, and adds an error for each rule that is invalid.
+    fn compile_rules(
+        &mut self,
+        entry: &str,
+        rules: &[Rule],
+        networks: &Networks,
+    ) -> Vec<Extractor> {
         let mut extractors = Vec::new();
         for (n, rule) in rules.iter().enumerate() {
             match Extractor::compile(rule, networks.is_empty()) {
@@ -58,7 +63,7 @@
             );
         }
     }
-    let mut rules = |entry, rules: &[Rule]| problems.compile(entry, rules, &networks);
+    let mut rules = |entry, rules: &[Rule]| problems.compile_rules(entry, rules, &networks);
     let extractors = Extractors {
         class: rules("class", &file.class),
         parish: rules("parish", &file.parish),
--- a/crates/traffic/src/mapping/extractor.rs
+++ b/crates/traffic/src/mapping/extractor.rs
@@ -80,8 +80,8 @@
 }
 
 impl<'a> RecordContext<'a> {
-    /// The first value that one of these rules yields.
-    pub(super) fn first(&self, extractors: &'a [Extractor]) -> Option<Cow<'a, str>> {
+    /// Returns the value of the first rule that yields one.
+    pub(super) fn first_value(&self, extractors: &'a [Extractor]) -> Option<Cow<'a, str>> {
         extractors.iter().find_map(|extractor| {
             let value = self.value(&extractor.source).filter(|v| !v.is_empty())?;
             if extractor.names.is_empty() {
--- a/crates/traffic/src/names.rs
+++ b/crates/traffic/src/names.rs
@@ -11,8 +11,8 @@
 pub struct NameInterner(FxHashMap<String, Arc<str>>);
 
 impl NameInterner {
-    /// The shared copy of a name.
-    pub fn name(&mut self, text: &str) -> Arc<str> {
+    /// Returns the shared copy of a name. Once the maximum is reached, new names get a copy of their own.
+    pub fn intern(&mut self, text: &str) -> Arc<str> {
         if let Some(name) = self.0.get(text) {
             return name.clone();
         }
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -49,8 +49,8 @@
 /// Parses a network: a CIDR prefix, or a single address.
 ///
 /// # Errors
-/// What is wrong with the text.
-pub fn network(text: &str) -> Result<IpNet, NetworkError> {
+/// The text is not a network, or has host bits set.
+pub fn parse_network(text: &str) -> Result<IpNet, NetworkError> {
     match text.parse::<IpNet>() {
         Ok(net) if net.trunc() != net => Err(NetworkError::HostBits {
             text: text.into(),
@@ -71,7 +71,7 @@
     /// The text is invalid, or the same prefix has another name already.
     pub fn add(&mut self, text: &str, name: &str) -> Result<(), NetworkError> {
         let name: Arc<str> = name.into();
-        let old = match network(text)? {
+        let old = match parse_network(text)? {
             IpNet::V4(net) => self.v4.insert(net, name.clone()),
             IpNet::V6(net) => self.v6.insert(net, name.clone()),
         };
@@ -107,8 +107,8 @@
     }
 }
 
-/// An address as logs write it: alone, with a port, in brackets.
-pub fn address(text: &str) -> Option<IpAddr> {
+/// Parses an address as written in logs: alone, with a port, or in brackets. IPv4-mapped IPv6 addresses become IPv4.
+pub fn parse_address(text: &str) -> Option<IpAddr> {
     let text = text.trim().trim_matches('"');
     if let Ok(address) = text.parse::<IpAddr>() {
         return Some(unmap_v4(address));
@@ -135,8 +135,12 @@
 /// address in `X-Forwarded-For` that is not a trusted proxy. If all are trusted, it is the first address in the header.
 ///
 /// # Errors
-/// An entry that a trusted proxy wrote is no address; the last one that is.
-pub fn client(peer: IpAddr, forwarded: Option<&str>, trusted: &Networks) -> Result<IpAddr, IpAddr> {
+/// An entry written by a trusted proxy is not an address; returns the last valid address before it was reached.
+pub fn forwarded_client(
+    peer: IpAddr,
+    forwarded: Option<&str>,
+    trusted: &Networks,
+) -> Result<IpAddr, IpAddr> {
     let mut last = peer;
     if !trusted.contains(peer) {
         return Ok(peer);
@@ -146,7 +150,7 @@
         .rsplit(',')
         .filter(|t| !t.trim().is_empty())
     {
-        match address(text) {
+        match parse_address(text) {
             Some(address) => last = address,
             None => return Err(last),
         }
--- a/crates/traffic/src/ops/scale.rs
+++ b/crates/traffic/src/ops/scale.rs
@@ -36,14 +36,14 @@
                 edge,
                 times,
             } => {
-                let up = |d: Micros| {
+                let ramp = |d: Micros| {
                     if edge <= 0 {
                         1.0
                     } else {
                         (d as f64 / edge as f64).min(1.0)
                     }
                 };
-                1.0 + (times - 1.0) * up(t - from).min(up(to - t))
+                1.0 + (times - 1.0) * ramp(t - from).min(ramp(to - t))
             }
         }
     }
@@ -54,7 +54,7 @@
 /// copies keep the burstiness of the original and the rate profile from block to block, without additional Poisson noise.
 /// Each copy gets its own subject and idempotency key.
 pub struct Scaled<I: Iterator<Item = Job>> {
-    from: std::iter::Peekable<I>,
+    input: std::iter::Peekable<I>,
     factor: Factor,
     /// Length of a block.
     block: Micros,
@@ -66,11 +66,11 @@
 }
 
 impl<I: Iterator<Item = Job>> Scaled<I> {
-    /// In stretches of so long; draws begin at the seed.
-    pub fn new(from: I, factor: Factor, block: Micros, seed: u64) -> Self {
+    /// Scales `input` in blocks of the duration `block`; `seed` initialises the random number generator.
+    pub fn new(input: I, factor: Factor, block: Micros, seed: u64) -> Self {
         let (rng, ready) = (Pcg64Mcg::seed_from_u64(seed), VecDeque::new());
         Scaled {
-            from: from.peekable(),
+            input: input.peekable(),
             factor,
             block: block.max(1),
             rng,
@@ -79,23 +79,24 @@
         }
     }
 
-    fn stretch(&mut self) -> Option<()> {
-        let start = self.from.peek()?.at.div_euclid(self.block) * self.block;
+    /// Scales the next block into `ready`; `None`: the input has ended.
+    fn scale_next_block(&mut self) -> Option<()> {
+        let start = self.input.peek()?.at.div_euclid(self.block) * self.block;
         let end = start + self.block;
-        let mut own = Vec::new();
-        while let Some(job) = self.from.next_if(|j| j.at < end) {
-            own.push(job);
+        let mut block_jobs = Vec::new();
+        while let Some(job) = self.input.next_if(|j| j.at < end) {
+            block_jobs.push(job);
         }
         let times = self.factor.at(start + self.block / 2).max(0.0);
         let mut all = Vec::new();
         for clone_number in 0..times.ceil() as u64 {
             let probability = (times - clone_number as f64).min(1.0);
-            let turn = if clone_number == 0 {
+            let rotation = if clone_number == 0 {
                 0
             } else {
                 (unit(&mut self.rng) * self.block as f64) as Micros
             };
-            for job in &own {
+            for job in &block_jobs {
                 if probability < 1.0 && unit(&mut self.rng) >= probability {
                     continue;
                 }
@@ -104,7 +105,7 @@
                     continue;
                 }
                 self.clones += 1;
-                let at = start + (job.at - start + turn) % self.block;
+                let at = start + (job.at - start + rotation) % self.block;
                 all.push(clone_at(job, at, self.clones));
             }
         }
@@ -121,10 +122,10 @@
     let by = at - job.at;
     job.at = at;
     job.retries.iter_mut().for_each(|retry| retry.at += by);
-    let own = |text: &str| format!("{text}~{number}");
-    job.key = job.key.as_deref().map(own);
+    let numbered = |text: &str| format!("{text}~{number}");
+    job.key = job.key.as_deref().map(numbered);
     if !job.subject.is_empty() {
-        job.subject = own(&job.subject);
+        job.subject = numbered(&job.subject);
     }
     job
 }
@@ -134,7 +135,7 @@
 
     fn next(&mut self) -> Option<Job> {
         while self.ready.is_empty() {
-            self.stretch()?;
+            self.scale_next_block()?;
         }
         self.ready.pop_front()
     }
--- a/crates/traffic/src/order/run_file.rs
+++ b/crates/traffic/src/order/run_file.rs
@@ -38,7 +38,7 @@
             .map_err(io::IntoInnerError::into_error)?;
         file.rewind()?;
         Ok(RunReader {
-            from: BufReader::with_capacity(BUFFER_BYTES, file),
+            input: BufReader::with_capacity(BUFFER_BYTES, file),
             bytes: Vec::new(),
         })
     }
@@ -46,7 +46,7 @@
 
 /// Reads a sorted run.
 pub(super) struct RunReader {
-    from: BufReader<File>,
+    input: BufReader<File>,
     bytes: Vec<u8>,
 }
 
@@ -54,12 +54,12 @@
     /// Reads the next attempt; `None`: the run has ended.
     pub(super) fn next(&mut self) -> io::Result<Option<Box<Attempt>>> {
         let mut length = [0; 4];
-        match self.from.read_exact(&mut length) {
+        match self.input.read_exact(&mut length) {
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
             other => other?,
         }
         self.bytes.resize(u32::from_le_bytes(length) as usize, 0);
-        self.from.read_exact(&mut self.bytes)?;
+        self.input.read_exact(&mut self.bytes)?;
         postcard::from_bytes(&self.bytes)
             .map(|attempt| Some(Box::new(attempt)))
             .map_err(io::Error::other)
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -14,7 +14,7 @@
 /// that it covers, in the order in which their file logged them (the order statistics of a Poisson process given its
 /// count). The input must be ordered by time, and so is the output.
 pub struct Spread<I: Iterator> {
-    from: std::iter::Peekable<I>,
+    input: std::iter::Peekable<I>,
     rng: Pcg64Mcg,
     /// Attempts that are spread but not handed out yet.
     heap: BinaryHeap<Reverse<HeapEntry>>,
@@ -23,10 +23,10 @@
 }
 
 impl<I: Iterator<Item = io::Result<Attempt>>> Spread<I> {
-    /// Draws begin at the seed.
-    pub fn new(from: I, seed: u64) -> Self {
+    /// Spreads the attempts of `input`; `seed` initialises the random number generator.
+    pub fn new(input: I, seed: u64) -> Self {
         Spread {
-            from: from.peekable(),
+            input: input.peekable(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             heap: BinaryHeap::new(),
             spread: 0,
@@ -42,7 +42,7 @@
                 .is_ok_and(|a| a.job.at == at && a.resolution.max(1) == resolution)
         };
         let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
-        while let Some(Ok(attempt)) = self.from.next_if(same) {
+        while let Some(Ok(attempt)) = self.input.next_if(same) {
             group.push(attempt);
         }
         if resolution >= SECOND {
@@ -51,8 +51,8 @@
         // The order of records is meaningful within a file only: each file's attempts are spread on their own.
         group.sort_by_key(|attempt| attempt.file);
         if resolution > 1 {
-            for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
-                draw_times(of_file, resolution, &mut self.rng);
+            for file_attempts in group.chunk_by_mut(|a, b| a.file == b.file) {
+                draw_times(file_attempts, resolution, &mut self.rng);
             }
         }
         for attempt in group {
@@ -66,8 +66,8 @@
     let draw = |_| (unit(rng) * resolution as f64) as Micros;
     let mut draws: SmallVec<[Micros; 4]> = (0..attempts.len()).map(draw).collect();
     draws.sort_unstable();
-    for (attempt, by) in attempts.iter_mut().zip(draws) {
-        attempt.job.at += by;
+    for (attempt, offset) in attempts.iter_mut().zip(draws) {
+        attempt.job.at += offset;
     }
 }
 
@@ -76,8 +76,8 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
-            // What still comes is no earlier than the next timestamp.
-            let bound = match self.from.peek() {
+            // Attempts still to be read are not earlier than the next timestamp, so all before it can be handed out.
+            let bound = match self.input.peek() {
                 Some(Ok(attempt)) => Some(attempt.job.at),
                 Some(Err(_)) => Some(Micros::MIN),
                 None => None,
@@ -87,7 +87,7 @@
                 (Some(at), Some(bound)) if at < bound => break,
                 (Some(_), None) => break,
                 (None, None) => return None,
-                _ => match self.from.next()? {
+                _ => match self.input.next()? {
                     Ok(first) => self.spread_next(first),
                     Err(e) => return Some(Err(e)),
                 },
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -28,8 +28,8 @@
     pub took: Option<Micros>,
     /// Request headers with their names in lower case, and separately logged cookies as `cookie.NAME`.
     pub headers: Vec<HeaderField<'a>>,
-    /// A number in it could not be read.
-    pub odd_number: bool,
+    /// Whether a number in the record could not be parsed.
+    pub has_unreadable_number: bool,
 }
 
 /// A request header, or a cookie under the name `cookie.NAME`.
@@ -52,15 +52,16 @@
 
     /// Returns the value of a cookie: from a separately logged cookie, or else from the `Cookie` header.
     pub fn cookie(&self, name: &str) -> Option<&str> {
-        let own = self
+        let separate = self
             .headers
             .iter()
             .find(|field| field.name.strip_prefix("cookie.") == Some(name));
-        if let Some(field) = own {
+        if let Some(field) = separate {
             return Some(&field.value);
         }
-        let all = self.header("cookie")?;
-        all.split(';')
+        let cookies = self.header("cookie")?;
+        cookies
+            .split(';')
             .filter_map(|p| p.trim().split_once('='))
             .find(|(n, _)| *n == name)
             .map(|(_, v)| v)
--- a/crates/traffic/src/recording/job_line.rs
+++ b/crates/traffic/src/recording/job_line.rs
@@ -86,8 +86,8 @@
         let retries = self.retries.into_iter();
         Job {
             at,
-            class: names.name(&self.class),
-            parish: names.name(&self.parish),
+            class: names.intern(&self.class),
+            parish: names.intern(&self.parish),
             subject: self.subject.into_owned(),
             key: self.key.map(Cow::into_owned),
             deadline: self.deadline,
--- a/crates/traffic/src/recording/reader.rs
+++ b/crates/traffic/src/recording/reader.rs
@@ -11,8 +11,8 @@
 
 /// Reads a recording line by line; iterates over its jobs.
 pub struct Reader<R> {
-    from: R,
-    /// Its header.
+    input: R,
+    /// The first line.
     pub header: Header,
     /// The last line; `None` until it was read.
     pub end: Option<End>,
@@ -33,10 +33,10 @@
     /// Reads the header.
     ///
     /// # Errors
-    /// It is none, or of a version that is not known.
-    pub fn new(mut from: R) -> Result<Self, RecordingError> {
+    /// The header cannot be read, or its version is not supported.
+    pub fn new(mut input: R) -> Result<Self, RecordingError> {
         let mut text = Vec::new();
-        read_line(&mut from, &mut text)?;
+        read_line(&mut input, &mut text)?;
         let header: Header = serde_json::from_slice(&text).map_err(|_| RecordingError::NoHeader)?;
         if header.format != FORMAT {
             return Err(RecordingError::NoHeader);
@@ -46,7 +46,7 @@
         }
         let (names, last) = (NameInterner::default(), Micros::MIN);
         Ok(Reader {
-            from,
+            input,
             header,
             end: None,
             text,
@@ -61,7 +61,7 @@
     /// Reads the next line; `None`: it is the end line, after which nothing is read.
     fn read_job(&mut self) -> Result<Option<Job>, RecordingError> {
         self.text.clear();
-        if !read_line(&mut self.from, &mut self.text)? {
+        if !read_line(&mut self.input, &mut self.text)? {
             return Err(RecordingError::Truncated { line: self.line });
         }
         self.line += 1;
@@ -89,15 +89,15 @@
     }
 }
 
-/// Reads a line without its end. `false`: there is none.
-fn read_line(from: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
-    let count = io::Read::take(&mut *from, MAX_RECORD_BYTES as u64).read_until(b'\n', text)?;
+/// Appends the next line to `text`, without its line break. Returns false at the end of the input.
+fn read_line(input: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
+    let count = io::Read::take(&mut *input, MAX_RECORD_BYTES as u64).read_until(b'\n', text)?;
     if text.last() == Some(&b'\n') {
         text.pop();
     } else if count == MAX_RECORD_BYTES {
-        return Err(io::Error::other(
-            "a line is longer than any that is written",
-        ));
+        return Err(io::Error::other(format!(
+            "a line is longer than {MAX_RECORD_BYTES} bytes"
+        )));
     }
     Ok(count > 0)
 }
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -152,8 +152,8 @@
         self.rejected.entry(reason).or_default().add(position, text);
     }
 
-    /// A record is accepted; it is taken or folded later.
-    pub fn pass(&mut self) {
+    /// Counts an accepted record as read; folding counts it as a first attempt or a retry later.
+    pub fn accept(&mut self) {
         self.read += 1;
     }
 
@@ -162,8 +162,8 @@
         self.remarks.entry(remark).or_default().add(position, text);
     }
 
-    /// The same of so many records, whose texts are not known any more.
-    pub fn remark_only(&mut self, remark: Remark, count: u64) {
+    /// Counts an anomaly of several records whose texts are not available any more.
+    pub fn remark_count(&mut self, remark: Remark, count: u64) {
         if count > 0 {
             self.remarks.entry(remark).or_default().count += count;
         }
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -21,8 +21,8 @@
     pub at: Micros,
     /// Length of the interval, at least one microsecond.
     pub resolution: Micros,
-    /// It is that of the request's end, not of its start.
-    pub end: bool,
+    /// Whether this is the time at which the request ended, rather than started.
+    pub is_end: bool,
 }
 
 impl RecordedTime {
@@ -30,7 +30,7 @@
         RecordedTime {
             at,
             resolution,
-            end: false,
+            is_end: false,
         }
     }
 }
@@ -100,10 +100,10 @@
     /// The text is not a timestamp of this format, or not a plausible time.
     pub fn read(
         &mut self,
-        form: &TimeFormat,
+        format: &TimeFormat,
         text: &str,
     ) -> Result<RecordedTime, InvalidTimestamp> {
-        let time = match form {
+        let time = match format {
             TimeFormat::Clf => RecordedTime::new(self.clf(text.as_bytes())?, SECOND),
             TimeFormat::Iso => self.iso(text)?,
             TimeFormat::Seconds => decimal(text, SECOND)?,
@@ -156,15 +156,15 @@
     }
 
     fn pattern(&mut self, pattern: &str, text: &str) -> Result<RecordedTime, InvalidTimestamp> {
-        let read = strtime::parse(pattern, text).map_err(|_| InvalidTimestamp)?;
+        let parsed = strtime::parse(pattern, text).map_err(|_| InvalidTimestamp)?;
         let resolution = match pattern.contains('f') && pattern.contains('%') {
             true => resolution(text),
             false => SECOND,
         };
-        if let Ok(time) = read.to_timestamp() {
+        if let Ok(time) = parsed.to_timestamp() {
             return Ok(RecordedTime::new(time.as_microsecond(), resolution));
         }
-        let local = read.to_datetime().map_err(|_| InvalidTimestamp)?;
+        let local = parsed.to_datetime().map_err(|_| InvalidTimestamp)?;
         Ok(RecordedTime::new(self.local(local)?, resolution))
     }
 
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -16,18 +16,19 @@
     let format = LogFormat::named(format).expect("the format is valid");
     let read = format
         .read(record, &mut timestamps())
-        .map(|raw| short(&raw));
+        .map(|raw| summary(&raw));
     read.unwrap_or_else(|reason| format!("{reason:?}"))
 }
 
-fn short(raw: &RawRecord<'_>) -> String {
+/// Formats the fields of a record that the tests compare.
+fn summary(raw: &RawRecord<'_>) -> String {
     let text = |t: &Option<std::borrow::Cow<'_, str>>| t.as_deref().unwrap_or("-").to_string();
-    let time = raw.time.map_or("no time".into(), |s| {
+    let time = raw.time.map_or("no time".into(), |time| {
         format!(
             "{}.{:06}{}",
-            s.at / 1_000_000,
-            s.at % 1_000_000,
-            if s.end { " end" } else { "" }
+            time.at / 1_000_000,
+            time.at % 1_000_000,
+            if time.is_end { " end" } else { "" }
         )
     });
     let headers: Vec<String> = raw
@@ -138,10 +139,10 @@
     let expected = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
                 user-agent=office/1.0 x-request-id=id-1 :authority=jobs.internal";
     assert_eq!(read("envoy", record), expected);
-    let own = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
+    let custom = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
     let record = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
     assert_eq!(
-        read(own, record),
+        read(custom, record),
         "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | "
     );
 }
@@ -174,7 +175,7 @@
         serde_json::from_str(fields).expect("the field map is valid"),
     ));
     let read = |record: &str| match format.read(record, &mut timestamps()) {
-        Ok(raw) => short(&raw),
+        Ok(raw) => summary(&raw),
         Err(reason) => format!("{reason:?}"),
     };
     let record = r#"{"ts":1791636936250,"req":{"path":"/a/b","m":"POST"},"status":"200","ms":1.5,"ip":"10.0.0.1","h":["real"]}"#;
@@ -199,7 +200,7 @@
     for chunk in text.as_bytes().chunks(size) {
         splitter.push(chunk, |element| {
             out.push(match element {
-                Element::Entry(text) => har::read(text, &mut timestamps()).map(|raw| short(&raw)),
+                Element::Entry(text) => har::read(text, &mut timestamps()).map(|raw| summary(&raw)),
                 Element::TooLong(_) => Err(Reason::TooLong),
             });
         });
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -401,7 +401,11 @@
 
 #[test]
 fn an_invalid_mapping_is_rejected_with_all_its_errors() {
-    let error = |text: &str| Mapping::read(text).expect_err("an error").to_string();
+    let error = |text: &str| {
+        Mapping::read(text)
+            .expect_err("the mapping is invalid")
+            .to_string()
+    };
     let e = error(r#"{"version":1,"clas":[],"class":[{"from":"network"}]}"#);
     assert!(e.contains("clas"), "{e}");
     let e = error(
@@ -442,14 +446,17 @@
         .expect("the import succeeds")
         .1;
     for name in ["a-", "b-"] {
-        let of: Vec<i64> = jobs
+        let offsets: Vec<i64> = jobs
             .iter()
             .filter(|j| j.subject.starts_with(name))
             .map(|j| j.at % 1_000_000)
             .collect();
-        assert_eq!(of.len(), 200);
-        let mean = of.iter().sum::<i64>() / 200;
-        assert!((400_000..600_000).contains(&mean), "{name} {mean}");
+        assert_eq!(offsets.len(), 200);
+        let mean = offsets.iter().sum::<i64>() / 200;
+        assert!(
+            (400_000..600_000).contains(&mean),
+            "mean offset of {name}: {mean}"
+        );
     }
 }
 
--- a/crates/traffic/tests/networks.rs
+++ b/crates/traffic/tests/networks.rs
@@ -1,10 +1,10 @@
 //! Network lookup and client addresses.
 
-use indigofold_traffic::networks::{Networks, address, client};
+use indigofold_traffic::networks::{Networks, forwarded_client, parse_address};
 use std::net::IpAddr;
 
 fn ip(text: &str) -> IpAddr {
-    address(text).expect("an address")
+    parse_address(text).expect("the address is valid")
 }
 
 #[test]
@@ -35,8 +35,12 @@
 #[test]
 fn only_trusted_proxies_forwarded_addresses_are_used() {
     let mut trusted = Networks::default();
-    trusted.add("10.0.0.0/8", "proxy").expect("a network");
-    let of = |peer: &str, forwarded| client(ip(peer), forwarded, &trusted).map(|a| a.to_string());
+    trusted
+        .add("10.0.0.0/8", "proxy")
+        .expect("the network is valid");
+    let of = |peer: &str, forwarded| {
+        forwarded_client(ip(peer), forwarded, &trusted).map(|a| a.to_string())
+    };
     assert_eq!(
         of("192.0.2.1", Some("198.51.100.7")),
         Ok("192.0.2.1".into())
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -92,13 +92,13 @@
 
     /// Bytes of a valid log are changed, removed or inserted: each line is still either accepted or rejected, and counted.
     #[test]
-    fn every_record_of_a_damaged_log_is_counted(harm in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
+    fn every_record_of_a_damaged_log_is_counted(edits in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
         let mut bytes: Vec<u8> = (0..24).flat_map(|n| {
             format!("192.0.2.{n} - - [10/Oct/2026:13:55:{n:02} +0000] \"POST /reserve/kit-{n} HTTP/1.1\" 200 5 \"-\" \"é\"\n").into_bytes()
         }).collect();
-        for (at, how, byte) in harm {
+        for (at, kind, byte) in edits {
             let at = at % bytes.len();
-            match how {
+            match kind {
                 0 => bytes[at] = byte,
                 1 => _ = bytes.remove(at),
                 _ => bytes.insert(at, byte),
@@ -183,46 +183,46 @@
             sorter.push(attempt_of(job, n as u64, 1)).expect("the temporary file is accessible");
         }
         wanted.sort_unstable();
-        let found: Vec<(i64, u64)> = sorter.finish().expect("sorted").map(|t| t.map(|t| (t.job.at, t.seq)).expect("a try")).collect();
+        let found: Vec<(i64, u64)> = sorter.finish().expect("the temporary file is accessible").map(|attempt| attempt.map(|a| (a.job.at, a.seq)).expect("the run is readable")).collect();
         prop_assert_eq!(found, wanted);
     }
 
     #[test]
     fn spreading_keeps_the_order_within_the_resolution(timestamps in proptest::collection::vec((0i64..20, 0usize..3), 1..80), seed in any::<u64>()) {
         let widths = [1, 1_000, 1_000_000];
-        let mut retries: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
+        let mut attempts: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
             let (at, resolution) = (s * 1_000_000, widths[*w]);
             let job = Job { at, class: "c".into(), parish: "".into(), subject: String::new(), key: None, deadline: None, bytes: at as u64,
                 slots: None, client: 0, status: 0, took: None, retries: Vec::new() };
             attempt_of(job, n as u64, resolution)
         }).collect();
-        retries.sort_by_key(|t| (t.job.at, t.seq));
-        let spread: Vec<Attempt> = Spread::new(retries.into_iter().map(Ok), seed).map(|t| t.expect("a try")).collect();
+        attempts.sort_by_key(|a| (a.job.at, a.seq));
+        let spread: Vec<Attempt> = Spread::new(attempts.into_iter().map(Ok), seed).map(|a| a.expect("the input has no errors")).collect();
         prop_assert_eq!(spread.len(), timestamps.len());
         prop_assert!(spread.windows(2).all(|w| w[0].job.at <= w[1].job.at));
-        for t in &spread {
-            let by = t.job.at - t.job.bytes as i64;
-            prop_assert!((0..t.resolution).contains(&by));
+        for attempt in &spread {
+            let offset = attempt.job.at - attempt.job.bytes as i64; // `bytes` holds the original time
+            prop_assert!((0..attempt.resolution).contains(&offset));
         }
     }
 
     #[test]
-    fn scaling_keeps_order_retries_and_rate_profile(mut jobs in proptest::collection::vec(job(), 1..60), by in 0.1f64..4.0, seed in any::<u64>()) {
+    fn scaling_keeps_order_retries_and_rate_profile(mut jobs in proptest::collection::vec(job(), 1..60), factor in 0.1f64..4.0, seed in any::<u64>()) {
         jobs.iter_mut().for_each(|j| j.at %= 60_000_000);
         jobs.sort_by_key(|j| j.at);
-        let scaled: Vec<Job> = Scaled::new(jobs.iter().cloned(), Factor::Always(by), 1_000_000, seed).collect();
+        let scaled: Vec<Job> = Scaled::new(jobs.iter().cloned(), Factor::Always(factor), 1_000_000, seed).collect();
         prop_assert!(scaled.windows(2).all(|w| w[0].at <= w[1].at));
-        prop_assert!(scaled.len() <= jobs.len() * by.ceil() as usize);
-        if by >= 1.0 {
+        prop_assert!(scaled.len() <= jobs.len() * factor.ceil() as usize);
+        if factor >= 1.0 {
             prop_assert!(scaled.len() >= jobs.len());
         }
         for j in &scaled {
-            // Each comes from a job of its second, with that job's retries at their distances.
-            let same = |o: &&Job| {
+            // Each scaled job is derived from a job of the same second, with its retries at the same distances.
+            let is_original = |o: &&Job| {
                 o.at / 1_000_000 == j.at / 1_000_000 && o.client == j.client && o.retries.len() == j.retries.len()
                     && o.retries.iter().zip(&j.retries).all(|(a, b)| a.at - o.at == b.at - j.at)
             };
-            prop_assert!(jobs.iter().find(same).is_some());
+            prop_assert!(jobs.iter().find(is_original).is_some());
         }
     }
 }
--- a/crates/traffic/tests/timestamps.rs
+++ b/crates/traffic/tests/timestamps.rs
@@ -33,7 +33,8 @@
 #[test]
 fn fraction_digits_set_the_resolution() {
     let mut r = reader();
-    let mut read = |form: &TimeFormat, text: &str| r.read(form, text).map(|s| (s.at, s.resolution));
+    let mut read =
+        |format: &TimeFormat, text: &str| r.read(format, text).map(|s| (s.at, s.resolution));
     let second = 1_700_000_000 * SECOND;
     assert_eq!(
         read(&TimeFormat::Seconds, "1700000000"),
--- a/fuzz/fuzz_targets/har.rs
+++ b/fuzz/fuzz_targets/har.rs
@@ -5,9 +5,10 @@
 use indigofold_traffic::timestamp::Reader;
 use libfuzzer_sys::fuzz_target;
 
-fn entries(data: &[u8], size: usize) -> usize {
+/// Decodes all entries of a document that is pushed in chunks of `chunk_size` bytes, and returns their number.
+fn count_entries(data: &[u8], chunk_size: usize) -> usize {
     let (mut splitter, mut timestamps, mut count) = (Splitter::default(), Reader::new(jiff::tz::TimeZone::UTC), 0);
-    for chunk in data.chunks(size) {
+    for chunk in data.chunks(chunk_size) {
         splitter.push(chunk, |element| {
             count += 1;
             match element {
@@ -25,6 +26,6 @@
 
 fuzz_target!(|data: &[u8]| {
     let document = [b"{\"log\":{\"entries\":[", data].concat();
-    assert_eq!(entries(&document, document.len()), entries(&document, 7));
-    entries(data, 64);
+    assert_eq!(count_entries(&document, document.len()), count_entries(&document, 7));
+    count_entries(data, 64);
 });
--- a/fuzz/fuzz_targets/json.rs
+++ b/fuzz/fuzz_targets/json.rs
@@ -5,20 +5,20 @@
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|line: &str| {
-    let at = |p: &str| Some(p.to_string());
+    let pointer = |p: &str| Some(p.to_string());
     for time_form in [TimeForm::Iso, TimeForm::Clf, TimeForm::Seconds, TimeForm::Millis, TimeForm::Micros] {
         let fields = Fields {
             time: "/t".into(),
             time_form,
             time_is_end: true,
             target: "/p".into(),
-            method: at("/m"),
-            status: at("/s"),
-            took: at("/d"),
+            method: pointer("/m"),
+            status: pointer("/s"),
+            took: pointer("/d"),
             took_unit: Unit::Ms,
-            peer: at("/a"),
-            user: at("/u"),
-            received: at("/b"),
+            peer: pointer("/a"),
+            user: pointer("/u"),
+            received: pointer("/b"),
             headers: [("x".to_string(), "/h/0".to_string())].into(),
         };
         let _ = fields.read(line, &mut Reader::new(jiff::tz::TimeZone::UTC));
