--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -146,7 +146,7 @@
         &mut self,
         input: &mut dyn BufRead,
         file: FileId<'_>,
-        io: &dyn Fn(io::Error) -> ImportError,
+        to_import_error: &dyn Fn(io::Error) -> ImportError,
     ) -> Result<(), ImportError> {
         let mut timestamps = self.timestamps();
         let (mut splitter, mut entry, mut failed) = (Splitter::default(), 0, None);
@@ -154,7 +154,7 @@
             let bytes = match input.fill_buf() {
                 Ok(bytes) => bytes,
                 Err(e) if is_damaged_data(&e) => break,
-                Err(e) => return Err(io(e)),
+                Err(e) => return Err(to_import_error(e)),
             };
             let used = bytes.len();
             if used == 0 {
@@ -175,7 +175,7 @@
             });
             input.consume(used);
             if let Some(e) = failed {
-                return Err(io(e));
+                return Err(to_import_error(e));
             }
             if self.has_failed() {
                 return Ok(());
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -34,7 +34,7 @@
         0u16..600,
     );
     (texts, counts, proptest::collection::vec(retry, 0..4)).prop_map(
-        |((class, parish, subject, key), (at, bytes, client, status), retry)| Job {
+        |((class, parish, subject, key), (at, bytes, client, status), retries)| Job {
             at,
             class: class.into(),
             parish: parish.into(),
@@ -46,7 +46,7 @@
             client,
             status,
             took: (status > 0).then_some(i64::from(status)),
-            retries: retry
+            retries: retries
                 .into_iter()
                 .map(|(d, status, took, confidence)| Retry {
                     at: at + d,
