--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -254,7 +254,7 @@
     }
 
     /// Returns the failed jobs that share a key of this kind with an attempt and whose last attempt ended at most
-    /// `window` before it, as far as the resolution of the times can tell.
+    /// `window` before it, within the resolution of the two timestamps.
     fn failed_jobs(
         &self,
         attempt: &Attempt,
--- a/crates/traffic/src/fold/waits.rs
+++ b/crates/traffic/src/fold/waits.rs
@@ -19,7 +19,7 @@
     const BINS: usize = 64;
 
     fn bin(wait: Micros) -> usize {
-        // Waits below 1 ms, also negative ones caused by clock resolution, fall into the first bin.
+        // Waits below 1 ms, and waits that appear negative, fall into the first bin.
         let quarters = (wait.max(1_000) as f64 / 1_000.0).log2() * 4.0;
         (quarters as usize).min(Self::BINS - 1)
     }
--- a/crates/traffic/src/ops/pseudonyms.rs
+++ b/crates/traffic/src/ops/pseudonyms.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 /// Replaces subjects, idempotency keys and client numbers by keyed hashes (BLAKE3), and parishes as well if `parishes` is
-/// set. The same secret gives the same pseudonyms, so recordings remain comparable. Empty values and client 0 (unknown)
-/// stay as they are.
+/// set. The same secret gives the same pseudonyms, so recordings remain comparable. Unknown values (an empty subject
+/// or parish, no key, client 0) stay as they are.
 pub fn pseudonymise<I: Iterator<Item = Job>>(
     jobs: I,
     secret: &str,
--- a/crates/traffic/src/ops/scale.rs
+++ b/crates/traffic/src/ops/scale.rs
@@ -59,7 +59,7 @@
     /// Length of a block.
     block: Micros,
     rng: Pcg64Mcg,
-    /// Scaled jobs of the current block that are not handed out yet.
+    /// Scaled jobs of the current block that are not yet returned.
     ready: VecDeque<Job>,
     /// Copies made so far; makes their subjects and keys unique.
     clones: u64,
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -16,7 +16,7 @@
 pub struct Spread<I: Iterator> {
     input: std::iter::Peekable<I>,
     rng: Pcg64Mcg,
-    /// Attempts that are spread but not handed out yet.
+    /// Attempts that are spread but not yet returned.
     heap: BinaryHeap<Reverse<HeapEntry>>,
     /// Number of attempts that were spread over a second or more.
     pub spread: u64,
@@ -76,7 +76,7 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
-            // Attempts still to be read are not earlier than the next timestamp, so all before it can be handed out.
+            // Attempts still to be read are not earlier than the next timestamp, so all before it can be returned.
             let bound = match self.input.peek() {
                 Some(Ok(attempt)) => Some(attempt.job.at),
                 Some(Err(_)) => Some(Micros::MIN),
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The line is empty.
+    /// The line is empty or contains only whitespace.
     Blank,
     /// The line begins with `#`, like the header lines of some logs.
     Comment,
--- a/fuzz/fuzz_targets/recording.rs
+++ b/fuzz/fuzz_targets/recording.rs
@@ -1,4 +1,4 @@
-//! Reads arbitrary recordings: must not panic, and all lines are valid only if the end line was read.
+//! Reads arbitrary recordings: must not panic, and all lines must be valid exactly if the end line was read.
 #![no_main]
 use indigofold_traffic::recording::Reader;
 use libfuzzer_sys::fuzz_target;
