--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -7,26 +7,27 @@
 /// A compiled directive.
 enum Directive {
     Field(Field),
-    /// `%t` writes brackets around its time.
+    /// `%t`, which writes its time in brackets.
     BracketedTime,
     /// `%%`
     Percent,
 }
 
-/// The directive at the start of a text, and what follows it.
+/// A directive parsed from the start of a text.
 struct Parsed<'a> {
     directive: Directive,
-    /// The time that it writes is that of the request's end.
-    end: bool,
+    /// Whether it writes the time at which the request ended.
+    time_is_end: bool,
+    /// The text after the directive.
     rest: &'a str,
 }
 
-/// Compiles a `LogFormat` string. Apache logs when a request began, unless the format says otherwise.
+/// Compiles a `LogFormat` string. Apache logs the start time of a request unless the format contains `%{end:...}t`.
 ///
 /// # Errors
-/// What in it is not understood.
+/// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
-    let (mut builder, mut end) = (Builder::default(), false);
+    let (mut builder, mut time_is_end) = (Builder::default(), false);
     let mut rest = format;
     while let Some(at) = rest.find(['%', '\\']) {
         builder.literal(&rest[..at]);
@@ -36,7 +37,7 @@
             continue;
         }
         let parsed = parse_directive(after)?;
-        (end, rest) = (end | parsed.end, parsed.rest);
+        (time_is_end, rest) = (time_is_end | parsed.time_is_end, parsed.rest);
         match parsed.directive {
             Directive::Field(field) => builder.field(field),
             Directive::Percent => builder.literal("%"),
@@ -48,10 +49,10 @@
         }
     }
     builder.literal(rest);
-    builder.finish(Escapes::Backslash, end)
+    builder.finish(Escapes::Backslash, time_is_end)
 }
 
-/// Adds the character that a backslash escapes, and hands back what follows it.
+/// Adds the character escaped by a backslash and returns the text after it.
 fn compile_escape<'a>(after: &'a str, builder: &mut Builder) -> Result<&'a str, FormatError> {
     let escaped = after.chars().next().ok_or(FormatError::TrailingBackslash)?;
     builder.literal(&match escaped {
@@ -62,7 +63,7 @@
     Ok(&after[escaped.len_utf8()..])
 }
 
-/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text behind a `%`.
+/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text after a `%`.
 fn parse_directive(after: &str) -> Result<Parsed<'_>, FormatError> {
     let body = after.trim_start_matches(|c: char| c == '!' || c == ',' || c.is_ascii_digit());
     let body = body.trim_start_matches(['<', '>']);
@@ -75,34 +76,34 @@
     };
     let body = body.trim_start_matches(['<', '>']);
     let directive = body.chars().next().ok_or(FormatError::EndsIn("'%'"))?;
-    // `%^ti` and `%^to` are trailers.
+    // `%^ti` and `%^to` log trailer fields, which are not used.
     if directive == '^' {
         return Ok(Parsed {
             directive: Directive::Field(Field::Skip),
-            end: false,
+            time_is_end: false,
             rest: body.get(3..).ok_or(FormatError::EndsIn("'%^'"))?,
         });
     }
     let rest = &body[directive.len_utf8()..];
-    let (directive, end) = match (directive, argument) {
+    let (directive, time_is_end) = match (directive, argument) {
         ('%', _) => (Directive::Percent, false),
         ('t', None) => (Directive::BracketedTime, false),
         ('t', Some(argument)) => {
-            let (field, end) = time_field(argument);
-            (Directive::Field(field), end)
+            let (field, time_is_end) = time_field(argument);
+            (Directive::Field(field), time_is_end)
         }
         (directive, argument) => (Directive::Field(field(directive, argument)?), false),
     };
     Ok(Parsed {
         directive,
-        end,
+        time_is_end,
         rest,
     })
 }
 
-/// The field of `%{ARGUMENT}t`, and whether its time is that of the request's end.
+/// Returns the field of `%{ARGUMENT}t` and whether it is the time at which the request ended.
 fn time_field(argument: &str) -> (Field, bool) {
-    let (end, pattern) = match argument.split_once(':') {
+    let (time_is_end, pattern) = match argument.split_once(':') {
         Some(("begin", pattern)) => (false, pattern),
         Some(("end", pattern)) => (true, pattern),
         _ => (false, argument),
@@ -116,11 +117,11 @@
         "usec_frac" => Field::Fraction(6),
         pattern => Field::Time(TimeFormat::Pattern(pattern.into())),
     };
-    (field, end)
+    (field, time_is_end)
 }
 
-/// The field of a directive other than `%t`.
-#[allow(clippy::match_same_arms, reason = "a table, one entry a line")]
+/// Returns the field of a directive other than `%t`.
+#[allow(clippy::match_same_arms, reason = "a table with one entry per line")]
 fn field(directive: char, argument: Option<&str>) -> Result<Field, FormatError> {
     Ok(match (directive, argument) {
         ('h', _) => Field::Peer,
--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -1,4 +1,4 @@
-//! JSON lines, by a map of fields.
+//! Decodes JSON lines according to a field map.
 
 use super::template::duration;
 use crate::job::Micros;
@@ -79,10 +79,10 @@
 }
 
 impl Fields {
-    /// Reads one record.
+    /// Decodes one record.
     ///
     /// # Errors
-    /// Why it cannot be read.
+    /// The reason why it is rejected.
     pub fn read<'a>(
         &self,
         record: &'a str,
@@ -98,7 +98,7 @@
         let mut time = timestamps
             .read(&self.time_form.format(), &time)
             .map_err(|_| Reason::BadTime)?;
-        time.end = self.time_is_end;
+        time.is_end = self.time_is_end;
         let mut raw = RawRecord {
             time: Some(time),
             status: status(optional(&self.status).as_deref())?,
@@ -110,11 +110,11 @@
         raw.user = optional(&self.user).map(Cow::Owned);
         if let Some(took) = optional(&self.took) {
             raw.took = duration(&took, self.took_unit.micros());
-            raw.odd_number |= raw.took.is_none();
+            raw.has_unreadable_number |= raw.took.is_none();
         }
         if let Some(received) = optional(&self.received) {
             raw.received = received.parse().ok();
-            raw.odd_number |= raw.received.is_none();
+            raw.has_unreadable_number |= raw.received.is_none();
         }
         for (name, pointer) in &self.headers {
             if let Some(value) = text(pointer) {
@@ -142,7 +142,7 @@
 }
 
 impl Unit {
-    /// Microseconds in one of the unit.
+    /// Returns the length of the unit in microseconds.
     fn micros(self) -> Micros {
         match self {
             Unit::S => 1_000_000,
@@ -152,7 +152,7 @@
     }
 }
 
-/// The text, number or truth value at a JSON Pointer; `None`: there is none, or it is empty or `-`.
+/// Returns the string, number or boolean at a JSON Pointer as text; `None` if it is missing, empty, `-` or another type.
 fn text_at(value: &Value, pointer: &str) -> Option<String> {
     match value.pointer(pointer) {
         None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
--- a/crates/traffic/src/access_log/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -4,17 +4,17 @@
 use super::template::{Builder, Escapes, Field, Template};
 use crate::timestamp::TimeFormat;
 
-/// Compiles a `log_format` string. nginx logs a request, and reads the clock for it, when the request ends.
+/// Compiles a `log_format` string. nginx takes the logged time when the request ends.
 ///
 /// # Errors
-/// What in it is not understood.
+/// The format is invalid, or has no time or no request.
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let mut builder = Builder::default();
     let mut rest = format;
     while let Some(at) = rest.find('$') {
         builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
-        let name = |c: char| c.is_ascii_alphanumeric() || c == '_';
+        let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '_';
         let variable = match after.strip_prefix('{') {
             Some(inner) => {
                 let close = inner.find('}').ok_or(FormatError::Unclosed("a '${'"))?;
@@ -22,12 +22,12 @@
                 &inner[..close]
             }
             None => {
-                let end = after.find(|c| !name(c)).unwrap_or(after.len());
+                let end = after.find(|c| !is_name_char(c)).unwrap_or(after.len());
                 rest = &after[end..];
                 &after[..end]
             }
         };
-        if variable.is_empty() || !variable.chars().all(name) {
+        if variable.is_empty() || !variable.chars().all(is_name_char) {
             return Err(FormatError::InvalidVariable(variable.into()));
         }
         builder.field(field(variable));
@@ -36,7 +36,7 @@
     builder.finish(Escapes::Backslash, true)
 }
 
-/// What a variable says. Modules add variables of their own: one that is not known is passed over.
+/// Returns the field of a variable. Unknown variables are skipped, because nginx modules can define their own.
 fn field(variable: &str) -> Field {
     match variable {
         "remote_addr" | "realip_remote_addr" => Field::Peer,
--- a/crates/traffic/src/har/splitter.rs
+++ b/crates/traffic/src/har/splitter.rs
@@ -1,9 +1,9 @@
-//! A HAR document to its entries.
+//! Splits a HAR document into its entries.
 
 use super::array_finder::ArrayFinder;
 use super::entry_scanner::EntryScanner;
 
-/// Where in the document the splitter is.
+/// Position of the splitter in the document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ParserState {
     /// Before the `[` of `log.entries`.
@@ -11,27 +11,27 @@
     Before,
     /// Between two entries.
     Between,
-    /// In an entry.
+    /// Within an entry.
     Within,
-    /// Behind the `]`.
+    /// After the `]` of `log.entries`.
     After,
 }
 
 /// An element of the array `log.entries`.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Element<'a> {
-    /// Its text, with long strings truncated.
+    /// The text of an entry, with long strings truncated.
     Entry(&'a [u8]),
-    /// It is too long or nested too deep; its beginning.
+    /// An entry that is too long or nested too deep; holds its beginning.
     TooLong(&'a [u8]),
 }
 
 /// The document has no array `log.entries`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the document has no array log.entries, as HAR 1.2 wants it")]
+#[error("the document has no array log.entries, which HAR 1.2 requires")]
 pub struct NoEntries;
 
-/// Finds the entries in a document that comes in chunks.
+/// Finds the entries in a document that is received in chunks.
 #[derive(Debug, Default)]
 pub struct Splitter {
     state: ParserState,
@@ -40,8 +40,8 @@
 }
 
 impl Splitter {
-    /// Takes a chunk of the document and hands out the entries that end in it.
-    pub fn push(&mut self, bytes: &[u8], mut each: impl FnMut(Element<'_>)) {
+    /// Processes a chunk of the document and passes each entry that ends in it to `emit`.
+    pub fn push(&mut self, bytes: &[u8], mut emit: impl FnMut(Element<'_>)) {
         let mut rest = bytes;
         while let Some((&byte, after)) = rest.split_first() {
             match self.state {
@@ -56,7 +56,7 @@
                         continue;
                     }
                     if self.scanner.push(byte) {
-                        self.end_entry(&mut each);
+                        self.end_entry(&mut emit);
                     }
                 }
                 ParserState::Before => {}
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Hands out the entry that has ended.
-    fn end_entry(&mut self, each: &mut impl FnMut(Element<'_>)) {
+    /// Passes the completed entry to `emit`.
+    fn end_entry(&mut self, emit: &mut impl FnMut(Element<'_>)) {
         self.state = ParserState::Between;
-        each(match self.scanner.is_too_long() {
+        emit(match self.scanner.is_too_long() {
             false => Element::Entry(self.scanner.text()),
             true => Element::TooLong(self.scanner.text()),
         });
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The document has ended. An entry that was not complete is handed back.
+    /// Ends the document. Returns the text of an incomplete entry, if the document ends within one.
     ///
     /// # Errors
     /// The document has no array `log.entries`.
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -1,11 +1,11 @@
-//! Networks by name: prefixes of both kinds in a prefix tree each, longest prefix first.
+//! Named IP networks, with longest-prefix lookup in one prefix tree each for IPv4 and IPv6.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Names of networks.
+/// A set of networks, each with a name.
 #[derive(Clone, Default)]
 pub struct Networks {
     v4: PrefixMap<Ipv4Net, Arc<str>>,
@@ -18,37 +18,39 @@
     }
 }
 
-/// Why a network cannot be added.
+/// Why a network is invalid or cannot be added.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NetworkError {
-    /// The text is neither a prefix nor an address.
-    #[error("{0:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed")]
+    /// The text is neither a CIDR prefix nor an address.
+    #[error(
+        "{0:?} is not a network: expected a prefix such as 10.4.0.0/16 or 2001:db8::/32, or a single address"
+    )]
     Invalid(String),
-    /// Bits of the host are set, so that most likely another network was meant.
-    #[error("{text:?} has bits beyond its prefix: {network} was meant?")]
+    /// The host part of the prefix is not zero, so that most likely another network was meant.
+    #[error("{text:?} has bits set beyond its prefix length; the network is {network}")]
     HostBits {
-        /// The text.
+        /// The text given.
         text: String,
-        /// The network without these bits.
+        /// The network with these bits cleared.
         network: IpNet,
     },
-    /// The same prefix has another name.
+    /// The same prefix was added before under another name.
     #[error("{text:?} is named both {old:?} and {new:?}")]
     NamedTwice {
-        /// The text.
+        /// The text given.
         text: String,
-        /// The name that it has.
+        /// The name under which it was added first.
         old: String,
-        /// The name that it should have as well.
+        /// The second name.
         new: String,
     },
 }
 
-/// Parses a network: a prefix, or one address alone.
+/// Parses a network: a CIDR prefix, or a single address.
 ///
 /// # Errors
-/// What is wrong with the text.
-pub fn network(text: &str) -> Result<IpNet, NetworkError> {
+/// The text is not a network, or has host bits set.
+pub fn parse_network(text: &str) -> Result<IpNet, NetworkError> {
     match text.parse::<IpNet>() {
         Ok(net) if net.trunc() != net => Err(NetworkError::HostBits {
             text: text.into(),
@@ -63,13 +65,13 @@
 }
 
 impl Networks {
-    /// Adds a network. The same prefix under another name is an error, which names both.
+    /// Adds a network under a name. Adding it again under the same name has no effect.
     ///
     /// # Errors
-    /// What is wrong with the text, or the other name.
+    /// The text is invalid, or the same prefix has another name already.
     pub fn add(&mut self, text: &str, name: &str) -> Result<(), NetworkError> {
         let name: Arc<str> = name.into();
-        let old = match network(text)? {
+        let old = match parse_network(text)? {
             IpNet::V4(net) => self.v4.insert(net, name.clone()),
             IpNet::V6(net) => self.v6.insert(net, name.clone()),
         };
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The name of the longest prefix that holds an address.
+    /// Returns the name of the longest prefix that contains an address.
     pub fn find(&self, address: IpAddr) -> Option<&Arc<str>> {
         match address {
             IpAddr::V4(v4) => self.v4.get_lpm(&Ipv4Net::from(v4)).map(|(_, name)| name),
@@ -94,19 +96,19 @@
         }
     }
 
-    /// Does any of them hold the address?
+    /// Returns true if any network contains the address.
     pub fn contains(&self, address: IpAddr) -> bool {
         self.find(address).is_some()
     }
 
-    /// Are there none?
+    /// Returns true if there are no networks.
     pub fn is_empty(&self) -> bool {
         self.v4.is_empty() && self.v6.is_empty()
     }
 }
 
-/// An address as logs write it: alone, with a port, in brackets.
-pub fn address(text: &str) -> Option<IpAddr> {
+/// Parses an address as written in logs: alone, with a port, or in brackets. IPv4-mapped IPv6 addresses become IPv4.
+pub fn parse_address(text: &str) -> Option<IpAddr> {
     let text = text.trim().trim_matches('"');
     if let Ok(address) = text.parse::<IpAddr>() {
         return Some(unmap_v4(address));
@@ -121,7 +123,7 @@
         .map(|v6| unmap_v4(IpAddr::V6(v6)))
 }
 
-/// An IPv4 address that is written as an IPv6 one, as the former.
+/// Converts an IPv4-mapped IPv6 address to IPv4 and leaves others unchanged.
 fn unmap_v4(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
@@ -129,12 +131,16 @@
     }
 }
 
-/// The address of the client: the connected peer, unless that is a trusted proxy; then the last address in
-/// `X-Forwarded-For` that is none.
+/// Returns the address of the client. That is the connected peer, unless it is a trusted proxy; then it is the last
+/// address in `X-Forwarded-For` that is not a trusted proxy. If all are trusted, it is the first address in the header.
 ///
 /// # Errors
-/// An entry that a trusted proxy wrote is no address; the last one that is.
-pub fn client(peer: IpAddr, forwarded: Option<&str>, trusted: &Networks) -> Result<IpAddr, IpAddr> {
+/// An entry written by a trusted proxy is not an address; returns the last valid address before it was reached.
+pub fn forwarded_client(
+    peer: IpAddr,
+    forwarded: Option<&str>,
+    trusted: &Networks,
+) -> Result<IpAddr, IpAddr> {
     let mut last = peer;
     if !trusted.contains(peer) {
         return Ok(peer);
@@ -144,7 +150,7 @@
         .rsplit(',')
         .filter(|t| !t.trim().is_empty())
     {
-        match address(text) {
+        match parse_address(text) {
             Some(address) => last = address,
             None => return Err(last),
         }
--- a/crates/traffic/src/ops/scale.rs
+++ b/crates/traffic/src/ops/scale.rs
@@ -1,4 +1,4 @@
-//! Recordings at a higher or lower rate.
+//! Scales the request rate of a recording.
 
 use crate::job::{Job, Micros};
 use crate::order::unit;
@@ -6,20 +6,21 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// How the rate changes over time.
+/// The factor by which the rate is multiplied, as a function of time.
 #[derive(Clone, Copy, Debug)]
 pub enum Factor {
-    /// Everywhere the same.
+    /// A constant factor.
     Always(f64),
-    /// A jump: up to the factor from `from` on within `edge`, and back before `to`.
+    /// A temporary change: linear from 1 to `times` in the first `edge` after `from`, and back to 1 in the last `edge`
+    /// before `to`; 1 outside.
     Jump {
-        /// When it begins.
+        /// Start of the change.
         from: Micros,
-        /// When it is over.
+        /// End of the change (exclusive).
         to: Micros,
-        /// How long the rise, and the fall, take.
+        /// Duration of each of the two ramps; 0: the factor changes at once.
         edge: Micros,
-        /// The factor between.
+        /// The factor between the ramps.
         times: f64,
     },
 }
@@ -35,37 +36,41 @@
                 edge,
                 times,
             } => {
-                let up = |d: Micros| {
+                let ramp = |d: Micros| {
                     if edge <= 0 {
                         1.0
                     } else {
                         (d as f64 / edge as f64).min(1.0)
                     }
                 };
-                1.0 + (times - 1.0) * up(t - from).min(up(to - t))
+                1.0 + (times - 1.0) * ramp(t - from).min(ramp(to - t))
             }
         }
     }
 }
 
-/// Scales the rate. Thinning keeps each first attempt with its retries, by chance. Scaling up adds copies of each short
-/// stretch, each turned round within the stretch by a draw of its own: the copies have the burstiness of the original, and
-/// the rate keeps its course from stretch to stretch; no Poisson noise comes on top. A copy's subject and key are its own.
+/// Scales the rate of a recording, block by block. Below a factor of 1, each job is kept or dropped at random together
+/// with its retries. Above 1, copies of each block are added, each rotated within the block by a random offset: the
+/// copies keep the burstiness of the original and the rate profile from block to block, without additional Poisson noise.
+/// Each copy gets its own subject and idempotency key.
 pub struct Scaled<I: Iterator<Item = Job>> {
-    from: std::iter::Peekable<I>,
+    input: std::iter::Peekable<I>,
     factor: Factor,
+    /// Length of a block.
     block: Micros,
     rng: Pcg64Mcg,
+    /// Scaled jobs of the current block that are not yet returned.
     ready: VecDeque<Job>,
+    /// Copies made so far; makes their subjects and keys unique.
     clones: u64,
 }
 
 impl<I: Iterator<Item = Job>> Scaled<I> {
-    /// In stretches of so long; draws begin at the seed.
-    pub fn new(from: I, factor: Factor, block: Micros, seed: u64) -> Self {
+    /// Scales `input` in blocks of the duration `block`; `seed` initialises the random number generator.
+    pub fn new(input: I, factor: Factor, block: Micros, seed: u64) -> Self {
         let (rng, ready) = (Pcg64Mcg::seed_from_u64(seed), VecDeque::new());
         Scaled {
-            from: from.peekable(),
+            input: input.peekable(),
             factor,
             block: block.max(1),
             rng,
@@ -74,23 +79,24 @@
         }
     }
 
-    fn stretch(&mut self) -> Option<()> {
-        let start = self.from.peek()?.at.div_euclid(self.block) * self.block;
+    /// Scales the next block into `ready`; `None`: the input has ended.
+    fn scale_next_block(&mut self) -> Option<()> {
+        let start = self.input.peek()?.at.div_euclid(self.block) * self.block;
         let end = start + self.block;
-        let mut own = Vec::new();
-        while let Some(job) = self.from.next_if(|j| j.at < end) {
-            own.push(job);
+        let mut block_jobs = Vec::new();
+        while let Some(job) = self.input.next_if(|j| j.at < end) {
+            block_jobs.push(job);
         }
         let times = self.factor.at(start + self.block / 2).max(0.0);
         let mut all = Vec::new();
         for clone_number in 0..times.ceil() as u64 {
             let probability = (times - clone_number as f64).min(1.0);
-            let turn = if clone_number == 0 {
+            let rotation = if clone_number == 0 {
                 0
             } else {
                 (unit(&mut self.rng) * self.block as f64) as Micros
             };
-            for job in &own {
+            for job in &block_jobs {
                 if probability < 1.0 && unit(&mut self.rng) >= probability {
                     continue;
                 }
@@ -99,7 +105,7 @@
                     continue;
                 }
                 self.clones += 1;
-                let at = start + (job.at - start + turn) % self.block;
+                let at = start + (job.at - start + rotation) % self.block;
                 all.push(clone_at(job, at, self.clones));
             }
         }
@@ -109,16 +115,17 @@
     }
 }
 
-/// A copy of a job with its retries at another time, under a subject and key of its own.
+/// Returns a copy of a job whose first attempt is at `at`, with its retries moved along. `number` is appended to the
+/// subject and the key, so that they differ from those of the original and of other copies.
 fn clone_at(job: &Job, at: Micros, number: u64) -> Job {
     let mut job = job.clone();
     let by = at - job.at;
     job.at = at;
     job.retries.iter_mut().for_each(|retry| retry.at += by);
-    let own = |text: &str| format!("{text}~{number}");
-    job.key = job.key.as_deref().map(own);
+    let numbered = |text: &str| format!("{text}~{number}");
+    job.key = job.key.as_deref().map(numbered);
     if !job.subject.is_empty() {
-        job.subject = own(&job.subject);
+        job.subject = numbered(&job.subject);
     }
     job
 }
@@ -128,7 +135,7 @@
 
     fn next(&mut self) -> Option<Job> {
         while self.ready.is_empty() {
-            self.stretch()?;
+            self.scale_next_block()?;
         }
         self.ready.pop_front()
     }
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -1,4 +1,4 @@
-//! Attempts whose time is known only roughly, spread over what their timestamp may stand for.
+//! Spreads attempts with coarse timestamps over the interval that their timestamp covers.
 
 use super::{Attempt, HeapEntry};
 use crate::job::Micros;
@@ -10,29 +10,30 @@
 use std::collections::BinaryHeap;
 use std::io;
 
-/// Spreads attempts whose time is known only roughly. Those of one and the same timestamp are put at uniform draws within
-/// its width, in the order in which their file logged them (the order statistics of a Poisson process given its count).
-/// The result is in order again.
+/// Spreads attempts with coarse timestamps. Attempts with the same timestamp get sorted uniform draws from the interval
+/// that it covers, in the order in which their file logged them (the order statistics of a Poisson process given its
+/// count). The input must be ordered by time, and so is the output.
 pub struct Spread<I: Iterator> {
-    from: std::iter::Peekable<I>,
+    input: std::iter::Peekable<I>,
     rng: Pcg64Mcg,
+    /// Attempts that are spread but not yet returned.
     heap: BinaryHeap<Reverse<HeapEntry>>,
-    /// Attempts that were spread over a second or more.
+    /// Number of attempts that were spread over a second or more.
     pub spread: u64,
 }
 
 impl<I: Iterator<Item = io::Result<Attempt>>> Spread<I> {
-    /// Draws begin at the seed.
-    pub fn new(from: I, seed: u64) -> Self {
+    /// Spreads the attempts of `input`; `seed` initialises the random number generator.
+    pub fn new(input: I, seed: u64) -> Self {
         Spread {
-            from: from.peekable(),
+            input: input.peekable(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             heap: BinaryHeap::new(),
             spread: 0,
         }
     }
 
-    /// Spreads all attempts of the next timestamp.
+    /// Spreads `first` and all following attempts with the same timestamp.
     fn spread_next(&mut self, first: Attempt) {
         let (at, resolution) = (first.job.at, first.resolution.max(1));
         let same = |attempt: &io::Result<Attempt>| {
@@ -41,17 +42,17 @@
                 .is_ok_and(|a| a.job.at == at && a.resolution.max(1) == resolution)
         };
         let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
-        while let Some(Ok(attempt)) = self.from.next_if(same) {
+        while let Some(Ok(attempt)) = self.input.next_if(same) {
             group.push(attempt);
         }
         if resolution >= SECOND {
             self.spread += group.len() as u64;
         }
-        // The records of one file are in order; those of two files say nothing of each other's order.
+        // The order of records is meaningful within a file only: each file's attempts are spread on their own.
         group.sort_by_key(|attempt| attempt.file);
         if resolution > 1 {
-            for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
-                draw_times(of_file, resolution, &mut self.rng);
+            for file_attempts in group.chunk_by_mut(|a, b| a.file == b.file) {
+                draw_times(file_attempts, resolution, &mut self.rng);
             }
         }
         for attempt in group {
@@ -60,13 +61,13 @@
     }
 }
 
-/// Moves attempts of one timestamp and one file by sorted uniform draws.
+/// Moves attempts of one timestamp and one file by sorted uniform draws from `[0, resolution)`.
 fn draw_times(attempts: &mut [Attempt], resolution: Micros, rng: &mut Pcg64Mcg) {
     let draw = |_| (unit(rng) * resolution as f64) as Micros;
     let mut draws: SmallVec<[Micros; 4]> = (0..attempts.len()).map(draw).collect();
     draws.sort_unstable();
-    for (attempt, by) in attempts.iter_mut().zip(draws) {
-        attempt.job.at += by;
+    for (attempt, offset) in attempts.iter_mut().zip(draws) {
+        attempt.job.at += offset;
     }
 }
 
@@ -75,8 +76,8 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
-            // What still comes is no earlier than the next timestamp.
-            let bound = match self.from.peek() {
+            // Attempts still to be read are not earlier than the next timestamp, so all before it can be returned.
+            let bound = match self.input.peek() {
                 Some(Ok(attempt)) => Some(attempt.job.at),
                 Some(Err(_)) => Some(Micros::MIN),
                 None => None,
@@ -86,7 +87,7 @@
                 (Some(at), Some(bound)) if at < bound => break,
                 (Some(_), None) => break,
                 (None, None) => return None,
-                _ => match self.from.next()? {
+                _ => match self.input.next()? {
                     Ok(first) => self.spread_next(first),
                     Err(e) => return Some(Err(e)),
                 },
@@ -96,7 +97,7 @@
     }
 }
 
-/// A uniform draw from 0 to 1.
+/// Returns a uniform random number from `[0, 1)`.
 pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Lines of each format, and what they say.
+//! Decoding of each log format and of HAR documents.
 
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::har::{self, Element, Splitter};
@@ -11,23 +11,24 @@
     Reader::new(TimeZone::UTC)
 }
 
-/// What is read of a record, in short; or why nothing is.
+/// Returns a summary of the decoded record, or the reason why it is rejected.
 fn read(format: &str, record: &str) -> String {
-    let format = LogFormat::named(format).expect("a format");
+    let format = LogFormat::named(format).expect("the format is valid");
     let read = format
         .read(record, &mut timestamps())
-        .map(|raw| short(&raw));
+        .map(|raw| summary(&raw));
     read.unwrap_or_else(|reason| format!("{reason:?}"))
 }
 
-fn short(raw: &RawRecord<'_>) -> String {
+/// Formats the fields of a record that the tests compare.
+fn summary(raw: &RawRecord<'_>) -> String {
     let text = |t: &Option<std::borrow::Cow<'_, str>>| t.as_deref().unwrap_or("-").to_string();
-    let time = raw.time.map_or("no time".into(), |s| {
+    let time = raw.time.map_or("no time".into(), |time| {
         format!(
             "{}.{:06}{}",
-            s.at / 1_000_000,
-            s.at % 1_000_000,
-            if s.end { " end" } else { "" }
+            time.at / 1_000_000,
+            time.at % 1_000_000,
+            if time.is_end { " end" } else { "" }
         )
     });
     let headers: Vec<String> = raw
@@ -61,11 +62,11 @@
     assert_eq!(
         read("combined", record),
         "Malformed",
-        "the quotes are missing"
+        "the quoted fields are missing"
     );
     assert!(
         read("common", more).starts_with(&expected[..60]),
-        "the rest of the line is the count of bytes, which is not used"
+        "the rest of the line is read as the byte count, which is not used"
     );
 }
 
@@ -87,7 +88,7 @@
     assert_eq!(of("[", ""), "Malformed");
     assert!(
         of(" 200 ", " - ").contains("| None None |"),
-        "no status is no error: the client left"
+        "a missing status is not an error: the client disconnected"
     );
 }
 
@@ -120,7 +121,7 @@
     assert_eq!(
         read(format, record),
         expected,
-        "the finer of two times counts"
+        "of two times, the one with the finer resolution is used"
     );
     let plain = r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
     assert_eq!(
@@ -138,10 +139,10 @@
     let expected = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
                 user-agent=office/1.0 x-request-id=id-1 :authority=jobs.internal";
     assert_eq!(read("envoy", record), expected);
-    let own = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
+    let custom = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
     let record = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
     assert_eq!(
-        read(own, record),
+        read(custom, record),
         "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | "
     );
 }
@@ -170,9 +171,11 @@
 fn json_records_are_decoded_by_a_field_map() {
     let fields = r#"{"time":"/ts","time-form":"millis","target":"/req/path","method":"/req/m","status":"/status",
         "took":"/ms","took-unit":"ms","peer":"/ip","headers":{"X-Customer":"/h/0"}}"#;
-    let format = LogFormat::Json(Box::new(serde_json::from_str(fields).expect("fields")));
+    let format = LogFormat::Json(Box::new(
+        serde_json::from_str(fields).expect("the field map is valid"),
+    ));
     let read = |record: &str| match format.read(record, &mut timestamps()) {
-        Ok(raw) => short(&raw),
+        Ok(raw) => summary(&raw),
         Err(reason) => format!("{reason:?}"),
     };
     let record = r#"{"ts":1791636936250,"req":{"path":"/a/b","m":"POST"},"status":"200","ms":1.5,"ip":"10.0.0.1","h":["real"]}"#;
@@ -191,13 +194,13 @@
     assert_eq!(read(r#"{"ts":17916369"#), "Malformed");
 }
 
-/// The entries of a document that comes in pieces of a size.
+/// Decodes the entries of a document that is pushed in chunks of `size` bytes.
 fn entries(text: &str, size: usize) -> Vec<Result<String, Reason>> {
     let (mut splitter, mut out) = (Splitter::default(), Vec::new());
     for chunk in text.as_bytes().chunks(size) {
         splitter.push(chunk, |element| {
             out.push(match element {
-                Element::Entry(text) => har::read(text, &mut timestamps()).map(|raw| short(&raw)),
+                Element::Entry(text) => har::read(text, &mut timestamps()).map(|raw| summary(&raw)),
                 Element::TooLong(_) => Err(Reason::TooLong),
             });
         });
@@ -236,17 +239,18 @@
         Err(Reason::NoTime),
     ];
     for size in [1, 2, 7, 64, 100_000] {
-        assert_eq!(entries(&text, size), wanted, "in pieces of {size}");
+        assert_eq!(entries(&text, size), wanted, "in chunks of {size} bytes");
     }
     let truncated = &text[..text.len() - 5];
     assert_eq!(entries(truncated, 64).last(), Some(&Err(Reason::Truncated)));
     assert!(
         Splitter::default().finish().is_err(),
-        "no array of entries is an error"
+        "a document without an array of entries is an error"
     );
 }
 
-/// Guards against a document with large bodies taking as much memory, and against cuts that break the text.
+/// Guards against memory use that grows with the bodies in a document, and against truncation that makes the JSON text of
+/// an entry invalid.
 #[test]
 fn long_strings_in_an_entry_are_truncated_to_valid_json() {
     let body = |unit: &str| unit.repeat(60_000);
@@ -267,12 +271,12 @@
                     );
                     sizes.push(text.len());
                 }
-                Element::TooLong(_) => panic!("{unit}"),
+                Element::TooLong(_) => panic!("the entry is too long, with a text of {unit}"),
             });
         }
         assert!(sizes.len() == 1 && sizes[0] < 10_000, "{unit}: {sizes:?}");
     }
-    // Where there is no place to cut, the entry is too long, and the next one is read.
+    // A string of escapes only cannot be truncated: the entry is too long, and the next one is still read.
     let escapes = format!(
         r#"{{"log":{{"entries":[{{"a":"{}"}},{{"startedDateTime":"x"}}]}}}}"#,
         body(&"\\\\".repeat(20))
--- a/crates/traffic/tests/networks.rs
+++ b/crates/traffic/tests/networks.rs
@@ -1,10 +1,10 @@
-//! Networks and addresses.
+//! Network lookup and client addresses.
 
-use indigofold_traffic::networks::{Networks, address, client};
+use indigofold_traffic::networks::{Networks, forwarded_client, parse_address};
 use std::net::IpAddr;
 
 fn ip(text: &str) -> IpAddr {
-    address(text).expect("an address")
+    parse_address(text).expect("the address is valid")
 }
 
 #[test]
@@ -16,7 +16,7 @@
         ("10.4.7.1", "till"),
         ("2001:db8::/32", "six"),
     ] {
-        nets.add(net, name).expect("a network");
+        nets.add(net, name).expect("the network is valid");
     }
     let name = |text: &str| nets.find(ip(text)).map(ToString::to_string);
     assert_eq!(name("10.4.7.1:4711").as_deref(), Some("till"));
@@ -31,12 +31,16 @@
     assert!(nets.add("ten", "gualtar").is_err());
 }
 
-/// Guards against clients that write themselves another parish into the header.
+/// Guards against a client that sets `X-Forwarded-For` itself to be assigned to another parish (tenant).
 #[test]
 fn only_trusted_proxies_forwarded_addresses_are_used() {
     let mut trusted = Networks::default();
-    trusted.add("10.0.0.0/8", "proxy").expect("a network");
-    let of = |peer: &str, forwarded| client(ip(peer), forwarded, &trusted).map(|a| a.to_string());
+    trusted
+        .add("10.0.0.0/8", "proxy")
+        .expect("the network is valid");
+    let of = |peer: &str, forwarded| {
+        forwarded_client(ip(peer), forwarded, &trusted).map(|a| a.to_string())
+    };
     assert_eq!(
         of("192.0.2.1", Some("198.51.100.7")),
         Ok("192.0.2.1".into())
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Whatever comes, decoders end, memory is bounded, counts add up, and what was written is read retry.
+//! Properties for arbitrary input: decoders terminate in bounded memory, counts add up, and recordings round-trip.
 
 use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::har::{self, Element, MAX_ENTRY_BYTES, Splitter};
@@ -34,7 +34,7 @@
         0u16..600,
     );
     (texts, counts, proptest::collection::vec(retry, 0..4)).prop_map(
-        |((class, parish, subject, key), (at, bytes, client, status), retry)| Job {
+        |((class, parish, subject, key), (at, bytes, client, status), retries)| Job {
             at,
             class: class.into(),
             parish: parish.into(),
@@ -46,7 +46,7 @@
             client,
             status,
             took: (status > 0).then_some(i64::from(status)),
-            retries: retry
+            retries: retries
                 .into_iter()
                 .map(|(d, status, took, confidence)| Retry {
                     at: at + d,
@@ -77,7 +77,7 @@
     #[test]
     fn access_log_decoders_terminate_on_any_input(text in any::<String>(), line in "[ -~]{0,200}", n in 0usize..5) {
         let name = ["common", "combined", "nginx", "envoy", "apache:%{%s}t %{X}i %U%q %D \"%r\" %{ms}T"][n];
-        let format = LogFormat::named(name).expect("a format");
+        let format = LogFormat::named(name).expect("the format is valid");
         let mut timestamps = timestamp::Reader::new(TimeZone::UTC);
         let _ = format.read(&text, &mut timestamps);
         let _ = format.read(&line, &mut timestamps);
@@ -90,26 +90,26 @@
         }
     }
 
-    /// A good line with one byte changed, lost or doubled is read or rejected, and counted.
+    /// Bytes of a valid log are changed, removed or inserted: each line is still either accepted or rejected, and counted.
     #[test]
-    fn every_record_of_a_damaged_log_is_counted(harm in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
+    fn every_record_of_a_damaged_log_is_counted(edits in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
         let mut bytes: Vec<u8> = (0..24).flat_map(|n| {
             format!("192.0.2.{n} - - [10/Oct/2026:13:55:{n:02} +0000] \"POST /reserve/kit-{n} HTTP/1.1\" 200 5 \"-\" \"é\"\n").into_bytes()
         }).collect();
-        for (at, how, byte) in harm {
+        for (at, kind, byte) in edits {
             let at = at % bytes.len();
-            match how {
+            match kind {
                 0 => bytes[at] = byte,
                 1 => _ = bytes.remove(at),
                 _ => bytes.insert(at, byte),
             }
         }
-        let mut file = tempfile::NamedTempFile::new().expect("a file");
-        file.write_all(&bytes).expect("written");
-        let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("a mapping");
-        let format = Some(indigofold_traffic::detect::Kind::AccessLog(LogFormat::named("combined").expect("a format")));
+        let mut file = tempfile::NamedTempFile::new().expect("the file is created");
+        file.write_all(&bytes).expect("the write succeeds");
+        let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("the mapping is valid");
+        let format = Some(indigofold_traffic::detect::Kind::AccessLog(LogFormat::named("combined").expect("the format is valid")));
         let options = Options { format, mapping, strict: false, max_bad: 1.0, seed: 1 };
-        let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("some lines are whole");
+        let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("at least one line is undamaged");
         prop_assert!(imported.tally.adds_up());
         let lines = bytes.split(|b| *b == b'\n').count() as u64 - u64::from(bytes.ends_with(b"\n"));
         prop_assert_eq!(imported.tally.read, lines);
@@ -117,7 +117,7 @@
 
     #[test]
     fn har_entries_do_not_depend_on_the_chunk_size(text in any::<String>(), tail in any::<Vec<u8>>(), size in 1usize..50) {
-        let body = serde_json::to_string(&text).expect("text");
+        let body = serde_json::to_string(&text).expect("the string is serialized");
         let mut bytes = format!("{{\"log\":{{\"entries\":[{{\"a\":{body}}},{{\"b\":[{body}]}}]}}}}").into_bytes();
         bytes.extend(tail);
         let read = |size: usize| {
@@ -151,17 +151,17 @@
     #[test]
     fn recordings_round_trip_and_truncation_is_detected(mut jobs in proptest::collection::vec(job(), 0..20)) {
         jobs.sort_by_key(|j| j.at);
-        let mut writer = Writer::new(Vec::new(), &Header::new(vec!["x".into()], 3)).expect("a writer");
-        jobs.iter().for_each(|j| writer.write(j).expect("written"));
-        let (bytes, end) = writer.finish(None).expect("written");
-        let mut reader = Reader::new(&bytes[..]).expect("a recording");
-        let read: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
+        let mut writer = Writer::new(Vec::new(), &Header::new(vec!["x".into()], 3)).expect("the header is written");
+        jobs.iter().for_each(|j| writer.write(j).expect("the write succeeds"));
+        let (bytes, end) = writer.finish(None).expect("the write succeeds");
+        let mut reader = Reader::new(&bytes[..]).expect("the recording is valid");
+        let read: Vec<Job> = reader.by_ref().map(|j| j.expect("the line is a valid job")).collect();
         prop_assert_eq!(reader.end, Some(end));
         prop_assert_eq!(&read, &jobs);
-        // Cut anywhere, it is told.
+        // Truncation at any length is detected.
         for length in (0..bytes.len() - 1).step_by(97) {
             let read = Reader::new(&bytes[..length]).map(Iterator::collect::<Result<Vec<Job>, _>>);
-            prop_assert!(!matches!(read, Ok(Ok(_))), "cut at {length}");
+            prop_assert!(!matches!(read, Ok(Ok(_))), "truncated to {length} bytes without an error");
         }
     }
 
@@ -173,56 +173,56 @@
         }
     }
 
-    /// In whatever order retries come, and however little memory there is, they come out by time.
+    /// Attempts are ordered by time whatever their input order and however small the capacity in memory.
     #[test]
     fn sorting_with_spilled_runs_orders_by_time(jobs in proptest::collection::vec(job(), 0..60), capacity in 1usize..8) {
         let mut sorter = Sorter::new(capacity);
         let mut wanted: Vec<(i64, u64)> = Vec::new();
         for (n, job) in jobs.into_iter().enumerate() {
             wanted.push((job.at, n as u64));
-            sorter.push(attempt_of(job, n as u64, 1)).expect("sorted");
+            sorter.push(attempt_of(job, n as u64, 1)).expect("the temporary file is accessible");
         }
         wanted.sort_unstable();
-        let found: Vec<(i64, u64)> = sorter.finish().expect("sorted").map(|t| t.map(|t| (t.job.at, t.seq)).expect("a try")).collect();
+        let found: Vec<(i64, u64)> = sorter.finish().expect("the temporary file is accessible").map(|attempt| attempt.map(|a| (a.job.at, a.seq)).expect("the run is readable")).collect();
         prop_assert_eq!(found, wanted);
     }
 
     #[test]
     fn spreading_keeps_the_order_within_the_resolution(timestamps in proptest::collection::vec((0i64..20, 0usize..3), 1..80), seed in any::<u64>()) {
         let widths = [1, 1_000, 1_000_000];
-        let mut retries: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
+        let mut attempts: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
             let (at, resolution) = (s * 1_000_000, widths[*w]);
             let job = Job { at, class: "c".into(), parish: "".into(), subject: String::new(), key: None, deadline: None, bytes: at as u64,
                 slots: None, client: 0, status: 0, took: None, retries: Vec::new() };
             attempt_of(job, n as u64, resolution)
         }).collect();
-        retries.sort_by_key(|t| (t.job.at, t.seq));
-        let spread: Vec<Attempt> = Spread::new(retries.into_iter().map(Ok), seed).map(|t| t.expect("a try")).collect();
+        attempts.sort_by_key(|a| (a.job.at, a.seq));
+        let spread: Vec<Attempt> = Spread::new(attempts.into_iter().map(Ok), seed).map(|a| a.expect("the input has no errors")).collect();
         prop_assert_eq!(spread.len(), timestamps.len());
         prop_assert!(spread.windows(2).all(|w| w[0].job.at <= w[1].job.at));
-        for t in &spread {
-            let by = t.job.at - t.job.bytes as i64;
-            prop_assert!((0..t.resolution).contains(&by));
+        for attempt in &spread {
+            let offset = attempt.job.at - attempt.job.bytes as i64; // `bytes` holds the original time
+            prop_assert!((0..attempt.resolution).contains(&offset));
         }
     }
 
     #[test]
-    fn scaling_keeps_order_retries_and_rate_profile(mut jobs in proptest::collection::vec(job(), 1..60), by in 0.1f64..4.0, seed in any::<u64>()) {
+    fn scaling_keeps_order_retries_and_rate_profile(mut jobs in proptest::collection::vec(job(), 1..60), factor in 0.1f64..4.0, seed in any::<u64>()) {
         jobs.iter_mut().for_each(|j| j.at %= 60_000_000);
         jobs.sort_by_key(|j| j.at);
-        let scaled: Vec<Job> = Scaled::new(jobs.iter().cloned(), Factor::Always(by), 1_000_000, seed).collect();
+        let scaled: Vec<Job> = Scaled::new(jobs.iter().cloned(), Factor::Always(factor), 1_000_000, seed).collect();
         prop_assert!(scaled.windows(2).all(|w| w[0].at <= w[1].at));
-        prop_assert!(scaled.len() <= jobs.len() * by.ceil() as usize);
-        if by >= 1.0 {
+        prop_assert!(scaled.len() <= jobs.len() * factor.ceil() as usize);
+        if factor >= 1.0 {
             prop_assert!(scaled.len() >= jobs.len());
         }
         for j in &scaled {
-            // Each comes from a job of its second, with that job's retries at their distances.
-            let same = |o: &&Job| {
+            // Each scaled job is derived from a job of the same second, with its retries at the same distances.
+            let is_original = |o: &&Job| {
                 o.at / 1_000_000 == j.at / 1_000_000 && o.client == j.client && o.retries.len() == j.retries.len()
                     && o.retries.iter().zip(&j.retries).all(|(a, b)| a.at - o.at == b.at - j.at)
             };
-            prop_assert!(jobs.iter().find(same).is_some());
+            prop_assert!(jobs.iter().find(is_original).is_some());
         }
     }
 }
--- a/crates/traffic/tests/timestamps.rs
+++ b/crates/traffic/tests/timestamps.rs
@@ -1,10 +1,10 @@
-//! Forms of time stamps.
+//! Timestamp formats, resolutions and daylight saving changes.
 
 use indigofold_traffic::timestamp::{InvalidTimestamp, Reader, SECOND, TimeFormat};
 use jiff::tz::TimeZone;
 
 fn reader() -> Reader {
-    Reader::new(TimeZone::get("Europe/Lisbon").expect("a zone"))
+    Reader::new(TimeZone::get("Europe/Lisbon").expect("the time zone is known"))
 }
 
 #[test]
@@ -33,7 +33,8 @@
 #[test]
 fn fraction_digits_set_the_resolution() {
     let mut r = reader();
-    let mut read = |form: &TimeFormat, text: &str| r.read(form, text).map(|s| (s.at, s.resolution));
+    let mut read =
+        |format: &TimeFormat, text: &str| r.read(format, text).map(|s| (s.at, s.resolution));
     let second = 1_700_000_000 * SECOND;
     assert_eq!(
         read(&TimeFormat::Seconds, "1700000000"),
@@ -63,12 +64,17 @@
     );
 }
 
-/// The hour that comes twice: the log goes on, and does not jump back.
+/// Guards against times that jump back by an hour when clocks are set back: within the repeated hour, an ambiguous time is
+/// read so that it continues from the preceding record.
 #[test]
 fn an_ambiguous_local_time_is_resolved_by_the_preceding_records() {
     let mut r = reader();
     let mut at = |text: &str| {
-        let at = r.read(&TimeFormat::Iso, text).expect("a time").at / SECOND;
+        let at = r
+            .read(&TimeFormat::Iso, text)
+            .expect("the timestamp is valid")
+            .at
+            / SECOND;
         (at, r.was_dst())
     };
     let (first, dst) = at("2026-10-25T01:10:00");
@@ -77,8 +83,11 @@
     assert_eq!(
         at("2026-10-25T01:00:01"),
         (first + 3_001, true),
-        "the second time round"
+        "the second pass through the repeated hour"
     );
     assert_eq!(at("2026-10-25T02:00:00"), (first + 6_600, false));
-    assert!(at("2026-03-29T01:30:00").1, "this one never came");
+    assert!(
+        at("2026-03-29T01:30:00").1,
+        "a nonexistent local time is reported as well"
+    );
 }
