--- a/crates/system-tests/tests/chaos.rs
+++ b/crates/system-tests/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Jobs of all kinds while machines, workers and the core are killed, frozen and restarted, in an order that follows from a
-//! seed. At the end all accepted jobs have ended, and no rule was broken.
+//! Jobs of all kinds are submitted while machines, workers and the core are killed, frozen and restarted in an order
+//! that is derived from a seed. At the end all accepted jobs must have ended, and no rule may be broken.
 
 mod chaos_support;
 
@@ -7,7 +7,7 @@
 use indigofold_system_tests::programs;
 use rstest::rstest;
 
-/// Variable that names the seeds of [`run_seeds_of_variable`], as FIRST..LAST.
+/// Environment variable with the seeds of [`run_seeds_of_variable`], as `FIRST..LAST`; LAST is excluded.
 const SEEDS_VARIABLE: &str = "CHAOS_SEEDS";
 
 #[rstest]
@@ -19,7 +19,8 @@
     run_seed(programs!(), seed);
 }
 
-/// More seeds than the suite has time for: `CHAOS_SEEDS=100..140 cargo test --test chaos -- --ignored --nocapture`.
+/// Runs a range of seeds, for more coverage than the regular suite has time for:
+/// `CHAOS_SEEDS=100..140 cargo test --test chaos -- --ignored --nocapture`.
 #[rstest]
 #[ignore = "takes as long as its seeds do"]
 fn run_seeds_of_variable() {
--- a/crates/system-tests/tests/chaos_support/faults.rs
+++ b/crates/system-tests/tests/chaos_support/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that are injected one after another. The core has no more faults at once than it tolerates; the other machines
-//! have any number.
+//! Injects faults one after another. The number of concurrent faults in the core stays within its tolerance; for the
+//! other machines there is no limit.
 
 use super::seeded_random::SeededRandom;
 use indigofold_system_tests::cluster::{CATCH_UP, Cluster};
@@ -9,14 +9,14 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Between two faults so many jobs are accepted ...
+/// The next fault follows once this number of jobs has been accepted, or after [`TIME_BETWEEN`].
 const JOBS_BETWEEN: usize = 3;
-/// ... or so much time passes.
+/// Longest time between two faults.
 const TIME_BETWEEN: Duration = Duration::from_millis(1_200);
-/// A draining worker ends after this.
+/// Time that a draining worker needs until it can end.
 const DRAIN: Duration = Duration::from_millis(2_500);
 
-/// A fault, or a change of the configuration.
+/// A fault to inject, or a change of the configuration.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillAgent,
@@ -41,7 +41,7 @@
     TerminateHead,
 }
 
-/// All faults. Seeds select by position, so the order is part of what a seed means.
+/// All faults. A seed selects them by position, so reordering them changes the faults of every seed.
 const FAULTS: [Fault; 14] = [
     Fault::KillAgent,
     Fault::FreezeAgent,
@@ -59,20 +59,20 @@
     Fault::Configure,
 ];
 
-/// Injects faults and keeps which of them are not repaired.
+/// Injects faults and tracks those that have not been repaired.
 pub(super) struct FaultInjector {
     random: SeededRandom,
-    /// Machines whose process has ended.
+    /// Machines whose process was killed or terminated and has not been restarted.
     down: Vec<MachineId>,
     frozen: Vec<MachineId>,
-    /// When the last restarted or thawed member has caught up, so that the core tolerates another fault.
+    /// Time at which the last restarted or resumed member has caught up, so that the core tolerates another fault.
     core_recovered_at: Moment,
-    /// The newest version of the configuration.
+    /// Newest version of the configuration.
     version: u64,
 }
 
 impl FaultInjector {
-    /// No fault has been injected yet.
+    /// Creates an injector without injected faults; the configuration has version 1.
     pub(super) fn new(random: SeededRandom) -> Self {
         FaultInjector {
             random,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Injects the next fault, and waits until some jobs have been accepted.
+    /// Injects the next fault, and waits until some jobs have been accepted or a time has passed.
     pub(super) fn next(&mut self, cluster: &mut Cluster) {
-        // Before every second fault, on average, the earlier ones are repaired.
+        // Repairs the earlier faults before every second fault on average.
         if self.random.below(2) == 0 {
             self.repair(cluster);
         }
@@ -98,7 +98,7 @@
             .environment
             .signal()
             .wait_until("jobs", TIME_BETWEEN, enough);
-        // Either will do.
+        // A timeout is not an error: the next fault follows in either case.
         drop(more);
     }
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /// An edge that has only just started may not yet watch for signals.
+    /// Terminates an edge once it is ready: right after its start it may not handle signals yet.
     fn terminate_edge(&mut self, cluster: &mut Cluster, edge: MachineId) {
         if self.is_healthy(edge) {
             cluster.wait_edge(edge);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Injects a fault of one member, if the core tolerates one now.
+    /// Injects a fault of one core member, unless another member is still faulty or catching up.
     fn inject_member_fault(&mut self, cluster: &mut Cluster, fault: MemberFault) {
         let cores = cluster.system.cores();
         let all_up = cores.iter().all(|core| self.is_healthy(*core));
@@ -212,7 +212,7 @@
         }
     }
 
-    /// All members that run are killed at the same moment, and all start again.
+    /// Kills all core members, one right after another, and then starts them all again.
     fn kill_core(&mut self, cluster: &mut Cluster) {
         let cores = cluster.system.cores();
         cluster.kill_machines(&cores);
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -1,4 +1,4 @@
-//! Clients that submit jobs of all kinds.
+//! Clients that submit random jobs of all kinds.
 
 use super::seeded_random::SeededRandom;
 use indigofold_system_tests::client::{Client, SubmittedJob};
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A client waits for its oldest job once so many are open.
+/// Number of open jobs at which a client waits for the oldest one to end.
 const OPEN_MAX: usize = 10;
 
 /// Submits jobs, and cancels some, until `stopping` is set.
@@ -40,7 +40,7 @@
     }
 }
 
-/// A job, and whether it is to be cancelled at once.
+/// Creates a random job, and decides whether it is cancelled right after its submission.
 fn random_job(random: &mut SeededRandom) -> (Job, bool) {
     let work = 50 + random.below(800);
     let step = Step::new(1 + random.below(4) as u32, work).cpu(random.choose(&[200, 500, 1_500]));
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -1,4 +1,4 @@
-//! The run of one seed: clients that submit jobs, and faults that are injected one after another.
+//! Runs one seed: clients submit jobs while faults are injected one after another.
 
 mod faults;
 mod jobs;
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Clients that submit jobs at the same time.
+/// Number of clients that submit jobs concurrently.
 const CLIENTS: u64 = 3;
-/// Faults in one run.
+/// Number of faults that are injected in one run.
 const FAULT_COUNT: usize = 12;
 
-/// Runs a seed; panics if a rule was broken or an accepted job has not ended.
+/// Runs a seed; panics if a rule is broken or an accepted job does not end in time.
 pub(crate) fn run_seed(programs: Programs, seed: u64) {
     let mut cluster = Cluster::start(
         programs,
--- a/crates/system-tests/tests/chaos_support/seeded_random.rs
+++ b/crates/system-tests/tests/chaos_support/seeded_random.rs
@@ -1,15 +1,15 @@
-//! Numbers that follow from a seed (`SplitMix64`).
+//! A seeded random number generator (`SplitMix64`).
 
-/// A sequence of numbers.
+/// A reproducible sequence of random numbers.
 pub(super) struct SeededRandom(u64);
 
 impl SeededRandom {
-    /// The sequence of this seed.
+    /// Creates the sequence of this seed.
     pub(super) fn new(seed: u64) -> Self {
         SeededRandom(seed)
     }
 
-    /// A number below `bound`.
+    /// The next number, below `bound`.
     pub(super) fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -18,7 +18,7 @@
         (mixed ^ (mixed >> 31)) % bound
     }
 
-    /// One of these.
+    /// Chooses one of `choices`, which must not be empty.
     pub(super) fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.below(choices.len() as u64) as usize]
     }
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: each version is accepted once and comes into force at every edge.
+//! The operator's configuration: each version is accepted once and takes effect at every edge.
 
 use indigofold_system_tests::cluster::{Cluster, START_TIMEOUT};
 use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue, VISION};
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A queue that later versions add.
+/// Path prefix of a queue that later versions add.
 const ADDED: &str = "/added/";
-/// No job has this id.
+/// An id that no job has.
 const NO_JOB: &str = "0123456789abcdef";
 
-/// Every edge's status for a job that does not exist: 410 on a known queue, 404 without one.
+/// Statuses of all edges for a job that does not exist: 410 if the edge knows the queue, 404 otherwise.
 fn statuses(cluster: &Cluster, path_prefix: &str) -> BTreeSet<u16> {
     let request = Request::new("GET", format!("{path_prefix}{NO_JOB}"));
     let edges = cluster.client.edges().iter();
@@ -32,7 +32,7 @@
         .collect()
 }
 
-/// Waits until all edges respond so, within the time that a configuration may take to come into force.
+/// Waits until all edges respond with `status`, at most for the time in which a configuration must take effect.
 fn wait_in_force(cluster: &Cluster, path_prefix: &str, status: u16) {
     let bound = cluster.environment.bounds().config_apply;
     let wanted = BTreeSet::from([status]);
@@ -104,7 +104,7 @@
     for _ in 0..2 {
         cluster.put(&second, 1);
     }
-    // Neither a retry of the same put nor one of the first version, which has been replaced since, is refused as new.
+    // A retry of the same put is not refused as a conflict, nor is one of the first version, which has been replaced.
     for member in cluster.operator.members() {
         let response = cluster
             .operator
@@ -226,7 +226,8 @@
     cluster.check();
 }
 
-/// Where a member that is not the head redirects to, once it knows the head. Until then it responds with 503.
+/// Waits for a redirection and returns its address. A member that is not the head responds with 503 until it knows the
+/// head, and then redirects to it.
 fn wait_redirection(cluster: &Cluster, member: SocketAddr, request: &Request) -> SocketAddr {
     cluster.wait_for("a redirection", START_TIMEOUT, || {
         let response = cluster
--- a/crates/system-tests/tests/discovery.rs
+++ b/crates/system-tests/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Processes that know only three seed addresses find each other, whatever order they start in.
+//! Discovery: processes that know only three seed addresses find each other in any start order.
 
 use indigofold_system_tests::cluster::{Cluster, START_TIMEOUT};
 use indigofold_system_tests::configuration::{PLANNING, QUICK};
@@ -8,7 +8,7 @@
 use indigofold_system_tests::system::Shape;
 use rstest::rstest;
 
-/// A job is accepted and completes.
+/// Checks that a job is accepted and completes, and finishes the test.
 fn expect_working(cluster: Cluster) {
     let job = cluster.submit(QUICK, &Job::single(100));
     cluster.expect_completed(&job);
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -1,4 +1,4 @@
-//! Edges and clients that are slow, send much, or set a deadline.
+//! Edges with unusual clients: slow or stalled connections, large requests, deadlines, and a core that is unavailable.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything in these tests.
+/// Timeout of each wait in these tests.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn small() -> Shape {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Puts limits in force that a test reaches quickly.
+/// Applies limits that are low enough for a test to exceed.
 fn tighten(cluster: &Cluster) {
     let limits = json!({
         "max_header_bytes": 2_048, "max_body_bytes": 8_192, "header_timeout_ms": 300, "idle_timeout_ms": 400
@@ -51,7 +51,7 @@
 fn limits_of_a_configuration_come_into_force() {
     let mut cluster = Cluster::start(programs!(), small());
     let job = json!({"spec": "x", "stages": [{"count": 1, "cpu": 1}], "more": "y".repeat(9_000)});
-    // Read, and refused for its id only.
+    // Within the first limits, so the edge reads the body and rejects only the invalid id.
     let large = Request::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
     let long = Request::new("GET", QUICK).header("X-Long", "z".repeat(4_000));
     assert_eq!(
@@ -76,12 +76,12 @@
     cluster.check();
 }
 
-/// Reads until the edge closes the connection; returns how long that took.
+/// Reads until the edge closes the connection; returns the time until then.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
     let started = Instant::now();
     stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let mut bytes = Vec::new();
-    // A reset closes it too.
+    // A reset also means that the connection is closed.
     let _ = stream.read_to_end(&mut bytes);
     started.elapsed()
 }
@@ -170,8 +170,7 @@
     cluster.finish();
 }
 
-/// While the core is frozen, a request gets its response by its deadline. The response says that the request may have been
-/// accepted only if it may have been.
+/// While the core is frozen, a request gets its response by its deadline, with status 503 or 504.
 #[rstest]
 fn a_request_gets_its_response_by_its_deadline() {
     let mut cluster = Cluster::start(programs!(), small());
@@ -194,7 +193,7 @@
     cluster.finish();
 }
 
-/// Once the head is known to have ended, requests are refused at once, with a time after which to retry.
+/// Once the edge knows that the head has ended, it refuses requests at once with a `Retry-After` header.
 #[rstest]
 fn without_a_core_requests_are_refused_at_once() {
     let mut cluster = Cluster::start(programs!(), small());
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Faults of the core: of its head, of all members, of disks.
+//! Faults of the core: loss of its head, of all members, and of disks.
 
 use indigofold_system_tests::checks::Exemptions;
 use indigofold_system_tests::cluster::{CATCH_UP, Cluster, JOB_TIMEOUT};
@@ -127,7 +127,8 @@
     cluster.finish();
 }
 
-/// A member without its disk recovers by state transfer before it counts for a quorum; then any other may be lost.
+/// A member that has lost its disk recovers by state transfer before it counts for a quorum; after that, another member
+/// can be lost.
 #[rstest]
 fn a_member_without_its_disk_recovers_before_another_is_lost() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
@@ -150,7 +151,7 @@
     cluster.finish();
 }
 
-/// The newest acceptance survives the loss of the head's disk.
+/// An accepted job survives the loss of the head's disk right after its acceptance.
 #[rstest]
 fn a_job_accepted_right_before_the_head_loses_its_disk_is_kept() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
--- a/crates/system-tests/tests/hardening.rs
+++ b/crates/system-tests/tests/hardening.rs
@@ -1,5 +1,5 @@
-//! Rare faults of operation: frozen members, racing operators, losses right after a replacement, members that return after
-//! hundreds of changes, connections that are lost in every phase of a request.
+//! Rare faults: frozen members, racing operators, losses right after a replacement, members that return after hundreds
+//! of changes, and connections that are lost in every phase of a request.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{CATCH_UP, Cluster};
@@ -15,19 +15,19 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Changes that are made while a member is down.
+/// Version up to which the configuration is changed while a member is down.
 const CHANGES: u64 = 500;
-/// Requests to read the configuration that reach a head while it is frozen.
+/// Number of requests to read the configuration that are sent to a head while it is frozen.
 const READERS: usize = 20;
-/// The head is killed at most so often until a certain member leads.
+/// Upper bound of the number of heads that are killed until a certain member becomes head.
 const HEADS_MAX: usize = 10;
 
-/// A configuration of this version that differs by `label` from others of the same.
+/// A configuration with a queue named after `label`, to distinguish it from others of the same version.
 fn labelled(version: u64, label: &str) -> Configuration {
     Configuration::standard(version).with(Queue::new(&format!("/{label}/"), PLANNING, 1))
 }
 
-/// Sends a request to one member on a thread of its own.
+/// Sends a request to one member on a new thread.
 fn request_in_thread(
     operator: &Operator,
     member: SocketAddr,
@@ -37,12 +37,12 @@
     std::thread::spawn(move || operator.request_once(member, &request))
 }
 
-/// A head and one more member are frozen for a while. Once thawed, the head responds with the newest configuration, or that
-/// it is not the head.
+/// A head and another member are frozen while a new configuration is accepted. Once resumed, the old head must return
+/// the new configuration or an error, and must not accept a put that builds on the old one.
 #[rstest]
 fn a_head_that_was_frozen_returns_no_stale_configuration() {
     let mut cluster = Cluster::start(programs!(), Shape::with_cores(5));
-    // Until all five vote.
+    // Gives all five members the time to count for a quorum.
     cluster.work_for(CATCH_UP);
     let head = cluster.head();
     let other = cluster.other_cores(head)[0];
@@ -78,8 +78,8 @@
     cluster.finish();
 }
 
-/// Two operators send different configurations of one version while the head is killed. One is accepted; retried, it is
-/// acknowledged again, and the other is refused.
+/// Two operators send different configurations of the same version while the head is killed. Exactly one is accepted,
+/// and a retry of each gets the same status as before.
 #[rstest]
 fn one_of_two_racing_puts_is_accepted_while_heads_are_killed(#[values(1, 2)] after: usize) {
     let mut cluster = Cluster::start(programs!(), Shape::default());
@@ -122,8 +122,8 @@
     cluster.finish();
 }
 
-/// A machine is replaced by one at another address; once that counts for a quorum, another loses its disk while all lose
-/// power.
+/// A core machine is replaced by one at another address. Once the new one counts for a quorum, all lose power and the
+/// head also loses its disk.
 #[rstest]
 #[case::replacement_started_first(true)]
 #[case::replaced_member_killed_first(false)]
@@ -164,7 +164,7 @@
     cluster.finish();
 }
 
-/// A member is down during hundreds of changes, restarts, and leads later.
+/// A member is down during hundreds of changes, restarts, and later becomes head with the newest configuration.
 #[rstest]
 fn a_member_that_missed_hundreds_of_changes_leads_with_all_of_them() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
@@ -203,8 +203,8 @@
     panic!("the member never led in {HEADS_MAX} changes of the head");
 }
 
-/// A member has lost its durable record, and its settings still name a first start. It must not vote like a new seed: with
-/// a member that was down it would lead without the newest writes.
+/// A member's database is corrupt, and its settings still have `bootstrap` set. It must not vote like a member of a new
+/// cluster: together with a member that was down, it would form a quorum without the newest writes.
 #[rstest]
 fn a_member_with_a_quarantined_database_does_not_bootstrap() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
@@ -233,7 +233,8 @@
     cluster.finish();
 }
 
-/// A client closes its connection after each part of a request. The job is unknown or runs once; retried, it is one job.
+/// A client closes its connection after a part of a request. The job is then unknown or runs once, and retries with the
+/// same id do not run it again.
 #[rstest]
 fn a_connection_lost_in_any_phase_of_a_request_causes_no_second_run() {
     let cluster = Cluster::start(programs!(), Shape::default());
@@ -251,7 +252,7 @@
         submitted.push(one);
     }
     for one in &submitted {
-        // Retried, as by clients that got no response.
+        // Retries at every edge, as by a client that got no response.
         let edges = cluster.client.edges().to_vec();
         let responses = edges
             .into_iter()
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from their submission to their ends.
+//! The life cycle of jobs: submission, runs, results, cancellation, and responses to invalid requests.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT, WORKER_CAPACITY};
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// All runs of a cancelled job must have ended by then.
+/// Longest time from a cancellation until all runs of the job have ended.
 const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 
 fn one_task() -> Job {
@@ -33,7 +33,7 @@
     ])
 }
 
-/// Two tasks of which no worker may run more than one.
+/// A gang of two tasks with at most one task on each worker.
 fn gang_on_two_workers() -> Job {
     Job::new(vec![Step::new(2, 400).cpu(3_000).gang().anti_affinity(1)])
 }
@@ -115,7 +115,7 @@
 #[rstest]
 fn a_long_running_job_runs_until_it_is_cancelled() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    // Its first runs fail, and are retried whatever the queue's limit is.
+    // The first runs fail more often than the queue allows; a long-running step is retried without limit.
     let submitted = cluster.submit(
         QUICK,
         &Job::new(vec![Step::new(2, 100).long_running().failures(4)]),
@@ -176,7 +176,7 @@
         }
     });
     cluster.expect_completed(&submitted);
-    // After its end the same id is still the same job.
+    // A submission with the same id after the job's end still refers to the same job.
     let response = client
         .submit_once(client.edges()[0], &submitted, &job)
         .expect("a response");
--- a/crates/system-tests/tests/oracle.rs
+++ b/crates/system-tests/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The simulated environment and the checks themselves, without any program: which violations are found, and that a correct
+//! Tests of the simulated environment and of the checks, without the programs: violations are found, and a correct
 //! record has none.
 
 mod oracle_support;
--- a/crates/system-tests/tests/oracle_support/mod.rs
+++ b/crates/system-tests/tests/oracle_support/mod.rs
@@ -1,4 +1,4 @@
-//! An environment without any program, driven by hand-written responses to heartbeats.
+//! A fixture without the programs: an environment that receives hand-written responses to heartbeats.
 
 use indigofold_system_tests::checks::{Exemptions, Rule, violations};
 use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue};
@@ -14,9 +14,9 @@
 
 /// The id of the fixture's job.
 pub(crate) const JOB: &str = "00000000000000aa";
-/// Longest wait for anything in these tests.
+/// Timeout of each wait in these tests.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Run lease of responses that name none.
+/// Run lease that is added to responses without one, in milliseconds.
 const RUN_LEASE_MS: u64 = 5_000;
 
 /// An environment with one accepted job and two workers.
@@ -25,7 +25,7 @@
     pub instances: [InstanceIndex; 2],
 }
 
-/// The queue of all jobs.
+/// The queue to which all jobs are submitted.
 pub(crate) fn queue() -> Queue {
     Configuration::standard(1)
         .queue(QUICK)
@@ -33,7 +33,7 @@
         .clone()
 }
 
-/// A worker with this number.
+/// The setup of worker `number`, which has the label `only-NUMBER`.
 pub(crate) fn setup(number: usize) -> WorkerSetup {
     WorkerSetup {
         name: format!("worker-{number}"),
@@ -49,12 +49,12 @@
     }
 }
 
-/// Tasks that outlast the test.
+/// A step of `count` tasks that run longer than the test.
 pub(crate) fn long(count: u32) -> Step {
     Step::new(count, 60_000)
 }
 
-/// An order to start the first run of a task, named by repetition, step and index.
+/// An order to start a run; `task` is the task's name without the job: `REPEAT.STEP.INDEX`.
 pub(crate) fn start_order(
     job: &str,
     task: &str,
@@ -71,7 +71,7 @@
 }
 
 impl Fixture {
-    /// A fixture whose job is `job`, with short bounds.
+    /// Creates a fixture with short bounds in which `job` has been accepted.
     pub(crate) fn new(job: &Job) -> Self {
         let bounds = Bounds {
             gang: Duration::from_millis(200),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A worker gets this response to a heartbeat of this moment, with a run lease in any case.
+    /// Gives a worker this response to a heartbeat sent now. Adds a run lease if the response has none.
     pub(crate) fn respond(&self, worker: usize, response: HeartbeatResponse) {
         let response = HeartbeatResponse {
             run_lease_ms: response.run_lease_ms.or(Some(RUN_LEASE_MS)),
@@ -103,7 +103,7 @@
             .handle_heartbeat_response(instance, sent, &response);
     }
 
-    /// A worker gets this start order.
+    /// Gives a worker this start order.
     pub(crate) fn start_by(&self, worker: usize, order: StartOrder) {
         let response = HeartbeatResponse {
             start: vec![order],
@@ -112,13 +112,13 @@
         self.respond(worker, response);
     }
 
-    /// A worker gets an order to start a run as the job says.
+    /// Gives a worker an order to start a run of the fixture's job, with the job's text and no checkpoint.
     pub(crate) fn start(&self, worker: usize, task: &str, attempt: u32) {
         let order = start_order(JOB, task, attempt, &self.spec(), "");
         self.start_by(worker, order);
     }
 
-    /// A worker gets an order to stop a run.
+    /// Gives a worker an order to stop a run of the fixture's job.
     pub(crate) fn stop(&self, worker: usize, task: &str, attempt: u32) {
         let task = format!("{JOB}.{task}");
         let response = HeartbeatResponse {
@@ -128,7 +128,7 @@
         self.respond(worker, response);
     }
 
-    /// A worker's ends are acknowledged up to a number.
+    /// Acknowledges a worker's ends up to a number.
     pub(crate) fn acknowledge_ends(&self, worker: usize, acknowledged_end: u64) {
         let response = HeartbeatResponse {
             acknowledged_end: Some(acknowledged_end),
@@ -137,7 +137,7 @@
         self.respond(worker, response);
     }
 
-    /// A worker's heartbeat.
+    /// The next heartbeat of a worker.
     pub(crate) fn heartbeat(&self, worker: usize) -> Heartbeat {
         let heartbeat = self.environment.heartbeat(self.instances[worker]);
         heartbeat.expect("a heartbeat").1
@@ -149,12 +149,12 @@
             .read(|record| record.jobs[JOB].job.spec.clone())
     }
 
-    /// How many of the job's runs have started.
+    /// Number of starts of the job's runs.
     pub(crate) fn count_starts(&self) -> usize {
         self.environment.read(|record| record.count_starts(JOB))
     }
 
-    /// Waits until at least so many of the job's runs have ended for this reason.
+    /// Waits until at least `count` of the job's runs have ended for this reason.
     pub(crate) fn wait_ends(&self, reason: EndReason, count: usize) {
         let ended = self.environment.wait_until("ends", TIMEOUT, |record| {
             (record.count_ends(JOB, reason) >= count).then_some(())
@@ -177,7 +177,7 @@
         found.into_iter().map(|violation| violation.rule).collect()
     }
 
-    /// Waits for so long.
+    /// Waits for `time`, while the environment advances.
     pub(crate) fn pass(&self, time: Duration) {
         let until = self.environment.now() + time;
         let passed = self.environment.wait_until("time", TIMEOUT, |_| {
--- a/crates/system-tests/tests/recovery.rs
+++ b/crates/system-tests/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Acknowledged state survives all faults of the core that the pages allow.
+//! Acknowledged state survives all faults of the core that the documentation requires it to survive.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT, START_TIMEOUT};
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The last version that an operator puts in force.
+/// The last version that an operator applies.
 const VERSIONS: u64 = 24;
 
 fn steps() -> Job {
@@ -30,7 +30,7 @@
     json!({"version": version, "upsert": {"routes": [queue.to_json()]}})
 }
 
-/// All lose power, and one member its disk, right after an acknowledgement.
+/// All members lose power, and one also its disk, right after an acknowledgement.
 #[rstest]
 #[case::of_the_head(true)]
 #[case::of_another_member(false)]
@@ -65,7 +65,7 @@
     cluster.check();
 }
 
-/// An operator puts one version after another in force while heads are killed.
+/// Applies one version after another as an operator, and stores the newest acknowledged one in `acknowledged`.
 fn put_versions(operator: &Operator, acknowledged: &AtomicU64) {
     for version in 2..=VERSIONS {
         let response = operator
@@ -104,7 +104,7 @@
     cluster.check();
 }
 
-/// One request to submit a new job.
+/// Sends one request to submit a new job.
 fn submit_new(cluster: &Cluster) -> Result<Response, HttpError> {
     let (submitted, client) = (SubmittedJob::new(&cluster.queue(QUICK)), &cluster.client);
     client.submit_once(client.edges()[0], &submitted, &Job::single(50))
@@ -129,7 +129,8 @@
     cluster.finish();
 }
 
-/// While the other members are frozen, the head still has its lease: it must not acknowledge what it alone has on disk.
+/// While the other members are frozen, the head still has its lease. It must not acknowledge a write that only its own
+/// disk has.
 #[rstest]
 fn a_write_only_on_the_head_s_disk_is_not_acknowledged() {
     let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
@@ -150,7 +151,7 @@
     cluster.kill_and_wipe(head);
     cluster.thaw_machines(&others);
     cluster.start_machine(head);
-    // A request without a response may be in force or not.
+    // A put without a response may or may not have taken effect.
     let version = cluster.read_configuration()["version"].clone();
     assert!(version == 1 || version == 2, "{version}");
     let job = cluster.submit(QUICK, &steps());
@@ -176,7 +177,7 @@
     cluster.finish();
 }
 
-/// Node agents extend the run leases while there is no core, and ends are reported once it is back.
+/// While the core is down, node agents extend the run leases; the ends of runs are reported once the core is back.
 #[rstest]
 fn tasks_survive_an_outage_of_the_core() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
--- a/crates/system-tests/tests/scheduling.rs
+++ b/crates/system-tests/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling without failed processes: stalled tasks, full workers, checkpoints, repetitions.
+//! Scheduling while no process fails: stalled tasks, preemption on full workers, checkpoints, repetitions.
 
 use indigofold_system_tests::cluster::Cluster;
 use indigofold_system_tests::configuration::{BATCH, QUICK};
@@ -20,7 +20,7 @@
     cluster.finish();
 }
 
-/// Long tasks on full workers are preempted for a queue of higher priority, and are done in the end.
+/// Long tasks on full workers are preempted for a job of higher priority, and complete later.
 #[rstest]
 fn an_urgent_job_preempts_long_ones() {
     let cluster = Cluster::start(programs!(), Shape::with_sides(2));
@@ -59,7 +59,7 @@
     cluster.finish();
 }
 
-/// More ends than one heartbeat may carry happen while the node agent is frozen.
+/// While the node agent is frozen, more runs end than one heartbeat can report.
 #[rstest]
 fn hundreds_of_ends_at_once_are_all_acknowledged() {
     let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
@@ -87,7 +87,7 @@
     cluster.finish();
 }
 
-/// A job that fits no worker does not keep other jobs from running.
+/// A job that needs more than any worker's capacity does not keep other jobs from running.
 #[rstest]
 fn a_job_that_fits_no_worker_blocks_no_other() {
     let cluster = Cluster::start(programs!(), Shape::default());
@@ -106,7 +106,7 @@
     cluster.finish();
 }
 
-/// Repetitions that overlap run at the same time, each from when it is due.
+/// Repetitions that overlap run concurrently, each from its due time.
 #[rstest]
 fn overlapping_repetitions_each_start_when_due() {
     let cluster = Cluster::start(programs!(), Shape::default());
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned ends: after SIGTERM no request is lost, and jobs go on.
+//! Graceful shutdown: after SIGTERM no request is lost, and jobs continue.
 
 use indigofold_system_tests::client::{Client, SubmittedJob};
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
@@ -13,15 +13,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Connections that send one request after another to an edge.
+/// Number of threads that send requests to an edge at the same time.
 const CALLERS: usize = 6;
-/// Time-out of one request: longer than the platform lets a process live after SIGTERM.
+/// Timeout of one request; longer than the platform's grace time after SIGTERM.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Responses received before the signal is sent.
+/// Number of responses received before SIGTERM is sent.
 const REQUESTS_BEFORE: usize = 60;
 
-/// Whether a request was read and got no complete response: its connection was lost after the response had started, or too
-/// late for the request to have been unread.
+/// Whether a request was read and got no complete response: its connection was lost after the response had started, or
+/// later than an unread request's connection can be lost (`slack`).
 fn is_lost(error: &HttpError, slack: Duration) -> bool {
     match error {
         HttpError::Connect { .. } | HttpError::Send { .. } => false,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Sends requests to an edge until it takes no more connections; returns the errors of those that were lost.
+/// Sends requests to an edge until it accepts no more connections; returns the errors of the lost requests.
 fn request_until_closed(
     edge: SocketAddr,
     request: &Request,
@@ -87,13 +87,13 @@
     cluster.finish();
 }
 
-/// Waits until all callers' submissions have been sent, and so long ago that the edge has read them.
+/// Waits until all callers have sent their submissions, and then for `slack`, so that the edge has read them.
 fn wait_pending(cluster: &Cluster, slack: Duration) {
     let environment = &cluster.environment;
     let sent = environment.wait_until("requests", JOB_TIMEOUT, |record| {
         (record.jobs.len() == CALLERS).then(|| environment.now())
     });
-    // Requests that are lost later than this have been read.
+    // A request whose connection is lost later than this has been read.
     let read = sent.expect("requests") + slack;
     let waiting = environment.wait_until("pending requests", JOB_TIMEOUT, |_| {
         (environment.now() > read).then_some(())
@@ -101,7 +101,7 @@
     waiting.expect("pending requests");
 }
 
-/// Requests that wait at an edge for a frozen head when the edge gets SIGTERM.
+/// Requests wait at an edge for a frozen head when the edge receives SIGTERM. The edge completes them before it exits.
 #[rstest]
 fn sigterm_of_an_edge_with_pending_requests_completes_them() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
@@ -181,7 +181,7 @@
     cluster.finish();
 }
 
-/// All machines are stopped and started in turn while jobs are submitted; nothing is started twice or lost.
+/// All machines are stopped and started in turn while jobs are submitted; no task starts twice and no job is lost.
 #[rstest]
 fn jobs_complete_during_a_rolling_restart() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
--- a/crates/system-tests/tests/workers.rs
+++ b/crates/system-tests/tests/workers.rs
@@ -1,4 +1,5 @@
-//! Faults beside and on the workers: node agents killed and frozen, workers crashed and drained, edges killed.
+//! Faults of workers, node agents and edges: node agents are killed and frozen, workers crash and drain, edges are
+//! killed.
 
 use indigofold_system_tests::checks::Exemptions;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
@@ -98,7 +99,7 @@
                 .any(|event| matches!(event, Event::InstanceEnded { instance: ended } if *ended == instance))
                 .then_some(())
         });
-    // Orders in flight when the draining was acknowledged may still start runs; jobs submitted afterwards may not.
+    // Orders in flight when the draining was acknowledged may still start runs, but not those of jobs submitted later.
     cluster.environment.read(|record| {
         for job in &short {
             let mut starts = record.starts(&job.id);
