--- a/crates/system-tests/src/checks/runs.rs
+++ b/crates/system-tests/src/checks/runs.rs
@@ -207,7 +207,8 @@
                 let job = record.jobs.get(&run.task.job);
                 let cancelled = job.and_then(|job| job.cancel_sent);
                 if cancelled.is_none_or(|cancelled| cancelled > entry.at) {
-                    let detail = format!("{run} has waited in vain");
+                    let detail =
+                        format!("{run} ended because the rest of its gang did not start in time");
                     case.report(Rule::Gang, entry.at, detail);
                 }
             }
--- a/crates/system-tests/src/client.rs
+++ b/crates/system-tests/src/client.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Snafu)]
 pub enum ClientError {
     /// The request got no clear response within [`REQUEST_TIMEOUT`].
-    #[snafu(display("{what}: no clear response after {attempts} attempts; the last: {last}"))]
+    #[snafu(display("{what}: no clear response after {attempts} attempts; last result: {last}"))]
     Unanswered {
         /// Description of the request.
         what: String,
--- a/crates/system-tests/src/cluster.rs
+++ b/crates/system-tests/src/cluster.rs
@@ -59,7 +59,8 @@
     /// If no addresses or folders can be reserved.
     pub fn prepare(programs: Programs, shape: Shape) -> Self {
         let (bounds, signal) = (Bounds::default(), Arc::new(Signal::default()));
-        let system = System::new(programs, shape, bounds, &signal).expect("machines");
+        let system =
+            System::new(programs, shape, bounds, &signal).expect("the machines should be set up");
         let environment = Environment::new(bounds, signal.clone());
         let cores = system.cores().into_iter();
         let members = cores.map(|core| system.control_plane(core)).collect();
@@ -100,7 +101,9 @@
     ///
     /// If the process cannot be started.
     pub fn start_machine(&mut self, machine: MachineId) {
-        self.system.start(machine).expect("a process starts");
+        self.system
+            .start(machine)
+            .expect("the machine's process should start");
     }
 
     /// Starts the processes of these machines, in this order.
@@ -124,7 +127,9 @@
     /// If a process cannot be signalled.
     pub fn freeze_machines(&mut self, machines: &[MachineId]) {
         for machine in machines {
-            self.system.freeze(*machine).expect("frozen");
+            self.system
+                .freeze(*machine)
+                .expect("the process should accept SIGSTOP");
         }
     }
 
@@ -135,7 +140,9 @@
     /// If a process cannot be signalled.
     pub fn thaw_machines(&mut self, machines: &[MachineId]) {
         for machine in machines {
-            self.system.thaw(*machine).expect("thawed");
+            self.system
+                .thaw(*machine)
+                .expect("the process should accept SIGCONT");
         }
     }
 
@@ -146,7 +153,9 @@
     /// If the files cannot be removed.
     pub fn kill_and_wipe(&mut self, machine: MachineId) {
         self.system.kill(machine);
-        self.system.wipe(machine).expect("an empty disk");
+        self.system
+            .wipe(machine)
+            .expect("the disk should be emptied");
     }
 
     /// Sends SIGTERM to a machine's process, and waits until it exits successfully.
@@ -155,9 +164,17 @@
     ///
     /// If the process cannot be signalled, does not exit in time, or exits with an error.
     pub fn terminate_and_wait(&mut self, machine: MachineId) {
-        self.system.terminate(machine).expect("a signal");
-        let status = self.system.wait_exit(machine).expect("an end in time");
-        assert!(status.success(), "ended with {status}");
+        self.system
+            .terminate(machine)
+            .expect("the process should accept SIGTERM");
+        let status = self
+            .system
+            .wait_exit(machine)
+            .expect("the process should exit within the grace time after SIGTERM");
+        assert!(
+            status.success(),
+            "the process exited with {status} after SIGTERM, expected success"
+        );
     }
 
     /// Starts a worker of this service for each node agent that has none.
@@ -229,8 +246,13 @@
     ///
     /// If no member acts as head in time.
     pub fn head(&self) -> MachineId {
-        let address = self.operator.head(START_TIMEOUT).expect("a head");
-        self.system.core_at(address).expect("the head's machine")
+        let address = self
+            .operator
+            .head(START_TIMEOUT)
+            .expect("a core member should act as head");
+        self.system
+            .core_at(address)
+            .expect("the head's address should belong to a core machine")
     }
 
     /// All core machines except one.
@@ -260,7 +282,7 @@
         for submitted in self.jobs_to_end() {
             self.client
                 .wait_end(&submitted, JOB_TIMEOUT)
-                .expect("the end of an accepted job");
+                .expect("an accepted job should end in time");
         }
         self.check();
     }
@@ -294,7 +316,7 @@
         let exited = self.system.unexpectedly_exited();
         assert!(
             exited.is_empty(),
-            "processes have ended by themselves: {exited:?}"
+            "processes exited unexpectedly: {exited:?}"
         );
     }
 }
--- a/crates/system-tests/src/cluster/steps.rs
+++ b/crates/system-tests/src/cluster/steps.rs
@@ -20,9 +20,12 @@
         let response = self
             .operator
             .put(configuration, base)
-            .expect("a clear response");
+            .expect("a core member should give a clear response");
         let (status, body) = (response.status, response.json());
-        assert_eq!(status, 200, "version {version}: {body}");
+        assert_eq!(
+            status, 200,
+            "the configuration of version {version} should be accepted: {body}"
+        );
     }
 
     /// Applies a change of individual configuration items that builds on version `base`.
@@ -31,9 +34,15 @@
     ///
     /// If the change is not accepted.
     pub fn patch(&self, change: &Value, base: u64) {
-        let response = self.operator.patch(change, base).expect("a clear response");
+        let response = self
+            .operator
+            .patch(change, base)
+            .expect("a core member should give a clear response");
         let (status, body) = (response.status, response.json());
-        assert_eq!(status, 200, "a change of version {base}: {body}");
+        assert_eq!(
+            status, 200,
+            "the change of version {base} should be accepted: {body}"
+        );
     }
 
     /// The configuration in force.
@@ -42,7 +51,9 @@
     ///
     /// If the configuration cannot be read.
     pub fn read_configuration(&self) -> Value {
-        self.operator.read().expect("the configuration")
+        self.operator
+            .read()
+            .expect("a core member should return the configuration")
     }
 
     /// The queue with this path prefix in [`Cluster::configuration`].
@@ -53,7 +64,7 @@
     pub fn queue(&self, path_prefix: &str) -> Queue {
         self.configuration
             .queue(path_prefix)
-            .expect("a queue of the configuration")
+            .expect("the configuration should have a queue with this path prefix")
             .clone()
     }
 
@@ -65,7 +76,7 @@
     pub fn submit(&self, path_prefix: &str, job: &Job) -> SubmittedJob {
         self.client
             .submit(&self.queue(path_prefix), job)
-            .expect("an accepted job")
+            .expect("the job should be accepted")
     }
 
     /// Waits until a job has ended, and checks that it is completed.
@@ -77,8 +88,13 @@
         let state = self
             .client
             .wait_end(submitted, JOB_TIMEOUT)
-            .expect("the end of a job");
-        assert_eq!(state, JobState::Completed, "{}", submitted.id);
+            .expect("the job should end in time");
+        assert_eq!(
+            state,
+            JobState::Completed,
+            "final state of job {}",
+            submitted.id
+        );
     }
 
     /// Waits until these jobs have ended, and checks that they are completed.
@@ -94,7 +110,9 @@
     ///
     /// If the state cannot be read.
     pub fn state(&self, submitted: &SubmittedJob) -> Option<JobState> {
-        self.client.state(submitted).expect("a state")
+        self.client
+            .state(submitted)
+            .expect("an edge should return the job's state")
     }
 
     /// Submits small jobs for `time`, each after the one before has completed.
@@ -119,7 +137,7 @@
     ) -> T {
         let signal = self.environment.signal();
         let found = signal.wait_until(what, at_most, probe);
-        found.expect("a condition comes true in time")
+        found.expect("the condition should become true in time")
     }
 
     /// Waits for at most [`JOB_TIMEOUT`] until `probe` returns `Some` for the record.
@@ -139,7 +157,7 @@
         });
         let mut workers = self.workers.iter();
         let number = workers.position(|worker| worker.name() == name);
-        number.expect("a known worker")
+        number.expect("the run's worker should belong to the cluster")
     }
 
     /// Waits until the number of starts of the job's runs is exactly `count`.
--- a/crates/system-tests/src/http/error.rs
+++ b/crates/system-tests/src/http/error.rs
@@ -18,7 +18,7 @@
         source: io::Error,
     },
     /// The request could not be sent.
-    #[snafu(display("cannot send: {source}"))]
+    #[snafu(display("cannot send the request: {source}"))]
     Send {
         /// The underlying I/O error.
         source: io::Error,
@@ -38,7 +38,7 @@
         after: Duration,
     },
     /// The response is not HTTP/1.1 with a `Content-Length`.
-    #[snafu(display("the response cannot be read: {head}"))]
+    #[snafu(display("malformed response, starting with: {head}"))]
     Malformed {
         /// First bytes of the response.
         head: String,
--- a/crates/system-tests/src/network.rs
+++ b/crates/system-tests/src/network.rs
@@ -54,7 +54,8 @@
             let at = SocketAddr::new(host(subnet, 1), GUARD_PORT);
             TcpListener::bind(at).ok().map(|guard| (subnet, guard))
         });
-        let (subnet, guard) = guarded.expect("a loopback network that is not in use");
+        let (subnet, guard) =
+            guarded.expect("one of the /24s tried below 127.0.0.0/8 should be free");
         Network {
             subnet,
             ports: choose_ports(),
--- a/crates/system-tests/src/operator.rs
+++ b/crates/system-tests/src/operator.rs
@@ -28,7 +28,7 @@
 pub enum OperatorError {
     /// The request got no clear response within [`REQUEST_TIMEOUT`].
     #[snafu(display(
-        "no clear response after {attempts} attempts in {REQUEST_TIMEOUT:?}; the last: {last}"
+        "no clear response after {attempts} attempts in {REQUEST_TIMEOUT:?}; last result: {last}"
     ))]
     Unanswered {
         /// Number of attempts.
--- a/crates/system-tests/src/process.rs
+++ b/crates/system-tests/src/process.rs
@@ -43,7 +43,7 @@
         source: rustix::io::Errno,
     },
     /// The process did not exit in time.
-    #[snafu(display("{name} does not end: {source}"))]
+    #[snafu(display("{name} did not exit: {source}"))]
     DidNotExit {
         /// Name of the machine.
         name: String,
@@ -199,9 +199,11 @@
             .child
             .as_mut()
             .context(NotRunningSnafu { name: &name })?;
-        let ended = self.signal.wait_until("the end of a process", at_most, || {
-            child.try_wait().ok().flatten()
-        });
+        let ended = self
+            .signal
+            .wait_until("the exit of a process", at_most, || {
+                child.try_wait().ok().flatten()
+            });
         let status = ended.context(DidNotExitSnafu { name })?;
         self.child = None;
         self.log.push(format!("-- ended: {status}"));
--- a/crates/system-tests/src/wait.rs
+++ b/crates/system-tests/src/wait.rs
@@ -11,7 +11,7 @@
 
 /// Error: a condition did not become true in time.
 #[derive(Debug, Snafu)]
-#[snafu(display("waited {at_most:?} in vain for {what}"))]
+#[snafu(display("timed out after {at_most:?} waiting for {what}"))]
 pub struct TimedOut {
     /// Description of the condition.
     pub what: String,
--- a/crates/system-tests/tests/chaos.rs
+++ b/crates/system-tests/tests/chaos.rs
@@ -24,9 +24,18 @@
 #[rstest]
 #[ignore = "takes as long as its seeds do"]
 fn run_seeds_of_variable() {
-    let seeds = std::env::var(SEEDS_VARIABLE).expect("seeds as FIRST..LAST");
-    let (first, last) = seeds.split_once("..").expect("seeds as FIRST..LAST");
-    for seed in first.parse::<u64>().expect("a number")..last.parse().expect("a number") {
+    let seeds =
+        std::env::var(SEEDS_VARIABLE).expect("CHAOS_SEEDS should hold the seeds as FIRST..LAST");
+    let (first, last) = seeds
+        .split_once("..")
+        .expect("CHAOS_SEEDS should hold the seeds as FIRST..LAST");
+    for seed in first
+        .parse::<u64>()
+        .expect("FIRST and LAST of CHAOS_SEEDS should be numbers")
+        ..last
+            .parse()
+            .expect("FIRST and LAST of CHAOS_SEEDS should be numbers")
+    {
         eprintln!("seed {seed}");
         run_seed(programs!(), seed);
     }
--- a/crates/system-tests/tests/chaos_support/faults.rs
+++ b/crates/system-tests/tests/chaos_support/faults.rs
@@ -114,7 +114,10 @@
             self.core_recovered_at = cluster.environment.now() + CATCH_UP;
         }
         for machine in self.frozen.drain(..) {
-            cluster.system.thaw(machine).expect("thawed");
+            cluster
+                .system
+                .thaw(machine)
+                .expect("the process should accept SIGCONT");
         }
         for machine in self.down.drain(..) {
             cluster.start_machine(machine);
@@ -158,7 +161,10 @@
 
     fn freeze(&mut self, cluster: &mut Cluster, machine: MachineId) {
         if self.is_healthy(machine) {
-            cluster.system.freeze(machine).expect("frozen");
+            cluster
+                .system
+                .freeze(machine)
+                .expect("the process should accept SIGSTOP");
             self.frozen.push(machine);
         }
     }
@@ -194,7 +200,10 @@
             MemberFault::TerminateHead => self.terminate(cluster, head),
             MemberFault::Wipe => {
                 self.kill(cluster, any);
-                cluster.system.wipe(any).expect("an empty disk");
+                cluster
+                    .system
+                    .wipe(any)
+                    .expect("the disk should be emptied");
             }
         }
         if self.random.below(3) > 0 {
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -23,19 +23,27 @@
     while !stopping.load(Ordering::Relaxed) {
         let queue = configuration
             .queue(random.choose(&[QUICK, BATCH]))
-            .expect("a queue");
+            .expect("the configuration should have this queue");
         let (job, cancels) = random_job(&mut random);
-        let submitted = client.submit(queue, &job).expect("an accepted job");
+        let submitted = client
+            .submit(queue, &job)
+            .expect("the job should be accepted");
         if cancels {
-            client.state(&submitted).expect("a state");
-            client.cancel(&submitted).expect("cancelled");
+            client
+                .state(&submitted)
+                .expect("an edge should return the job's state");
+            client
+                .cancel(&submitted)
+                .expect("the cancellation should be acknowledged");
         } else {
             open.push_back(submitted);
         }
         if open.len() >= OPEN_MAX
             && let Some(oldest) = open.pop_front()
         {
-            client.wait_end(&oldest, JOB_TIMEOUT).expect("an end");
+            client
+                .wait_end(&oldest, JOB_TIMEOUT)
+                .expect("the job should end in time");
         }
     }
 }
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -47,6 +47,6 @@
     stopping.store(true, Ordering::Relaxed);
     clients
         .into_iter()
-        .for_each(|client| client.join().expect("a client's jobs"));
+        .for_each(|client| client.join().expect("the client's thread should not panic"));
     cluster.finish();
 }
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -26,7 +26,7 @@
             cluster
                 .client
                 .request_at(*edge, &request)
-                .expect("a response")
+                .expect("the request should get a response")
                 .status
         })
         .collect()
@@ -109,10 +109,10 @@
         let response = cluster
             .operator
             .request_once(*member, &put_request(&second.to_json(), 1))
-            .expect("a response");
+            .expect("the request should get a response");
         assert!(
             matches!(response.status, 200 | 307 | 503),
-            "{}",
+            "status {}, expected 200, 307 or 503",
             response.status
         );
     }
@@ -120,7 +120,7 @@
         cluster
             .operator
             .put(&cluster.configuration, 0)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -133,7 +133,11 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
     assert_eq!(
-        cluster.operator.put(&other, 0).expect("a response").status,
+        cluster
+            .operator
+            .put(&other, 0)
+            .expect("the request should get a response")
+            .status,
         412
     );
     assert_eq!(
@@ -154,21 +158,29 @@
     ];
     let operator = &cluster.operator;
     let statuses = std::thread::scope(|scope| {
-        let put =
-            |version| scope.spawn(move || operator.put(version, 1).expect("a response").status);
+        let put = |version| {
+            scope.spawn(move || {
+                operator
+                    .put(version, 1)
+                    .expect("the request should get a response")
+                    .status
+            })
+        };
         let racing: Vec<_> = versions.iter().map(put).collect();
         racing
             .into_iter()
-            .map(|put| put.join().expect("an operator"))
+            .map(|put| put.join().expect("the operator's thread should not panic"))
             .collect::<Vec<_>>()
     });
     let winner = statuses
         .iter()
         .position(|status| *status == 200)
-        .expect("a winner");
+        .expect("one of the puts should be accepted");
     assert_eq!(statuses[1 - winner], 412);
     assert_eq!(
-        operator.read().expect("the configuration"),
+        operator
+            .read()
+            .expect("a core member should return the configuration"),
         versions[winner].to_json()
     );
     cluster.check();
@@ -206,7 +218,7 @@
     let response = cluster
         .operator
         .request(&put_request(&spoilt, 1))
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(response.status, 400);
     let truncated = Request::new("PUT", "/config")
         .header("If-Match", "1")
@@ -215,7 +227,7 @@
         cluster
             .operator
             .request(&truncated)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         400
     );
@@ -233,8 +245,12 @@
         let response = cluster
             .operator
             .request_once(member, request)
-            .expect("a response");
-        assert!(matches!(response.status, 307 | 503), "{}", response.status);
+            .expect("the request should get a response");
+        assert!(
+            matches!(response.status, 307 | 503),
+            "status {}, expected 307 or 503",
+            response.status
+        );
         redirection(&response)
     })
 }
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -55,11 +55,19 @@
     let large = Request::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
     let long = Request::new("GET", QUICK).header("X-Long", "z".repeat(4_000));
     assert_eq!(
-        cluster.client.request(&large).expect("a response").status,
+        cluster
+            .client
+            .request(&large)
+            .expect("the request should get a response")
+            .status,
         400
     );
     assert_eq!(
-        cluster.client.request(&long).expect("a response").status,
+        cluster
+            .client
+            .request(&long)
+            .expect("the request should get a response")
+            .status,
         200
     );
     tighten(&cluster);
@@ -69,7 +77,7 @@
         cluster
             .client
             .request(&Request::new("GET", QUICK))
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -79,7 +87,9 @@
 /// Reads until the edge closes the connection; returns the time until then.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
     let started = Instant::now();
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout should be set");
     let mut bytes = Vec::new();
     // A reset also means that the connection is closed.
     let _ = stream.read_to_end(&mut bytes);
@@ -103,7 +113,8 @@
 #[rstest]
 fn a_connection_carries_several_requests() {
     let mut cluster = Cluster::start(programs!(), small());
-    let mut connection = Connection::open(edge(&cluster), TIMEOUT).expect("a connection");
+    let mut connection =
+        Connection::open(edge(&cluster), TIMEOUT).expect("the edge should accept a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
     for (path, status) in [
         (QUICK, 200),
@@ -115,12 +126,15 @@
         assert_eq!(
             connection
                 .request(&request, TIMEOUT)
-                .expect("a response")
+                .expect("the request should get a response")
                 .status,
             status,
             "{path}"
         );
-        assert!(!connection.is_closed(), "closed after {path}");
+        assert!(
+            !connection.is_closed(),
+            "the edge closed the connection after {path}"
+        );
     }
     cluster.check();
 }
@@ -133,7 +147,7 @@
     let request = Request::new("GET", QUICK).header("Host", host);
     assert_eq!(
         request_once(edge(&cluster), &request, TIMEOUT)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -148,7 +162,7 @@
     cluster
         .environment
         .job_sent(&submitted.id, &job, &submitted.queue);
-    let body = serde_json::to_string(&job).expect("a job as JSON");
+    let body = serde_json::to_string(&job).expect("the job should serialize to JSON");
     let (first, second) = body.split_at(body.len() / 2);
     let head = format!(
         "POST {BATCH}{} HTTP/1.1\r\nHost: {HOST}\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -159,11 +173,18 @@
         first.len(),
         second.len()
     );
-    let mut stream = TcpStream::connect(edge(&cluster)).expect("a connection");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
-    stream.write_all((head + &chunks).as_bytes()).expect("sent");
+    let mut stream =
+        TcpStream::connect(edge(&cluster)).expect("the edge should accept a connection");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout should be set");
+    stream
+        .write_all((head + &chunks).as_bytes())
+        .expect("the request should be sent");
     let mut status = [0; 12];
-    stream.read_exact(&mut status).expect("a response");
+    stream
+        .read_exact(&mut status)
+        .expect("the request should get a response");
     assert_eq!(&status, b"HTTP/1.1 200");
     cluster.environment.job_responded(&submitted.id, Some(200));
     cluster.expect_completed(&submitted);
@@ -180,8 +201,13 @@
     let request = Request::new("GET", QUICK)
         .header("Host", HOST)
         .header("Indigofold-Deadline-Ms", "400");
-    let response = request_once(edge(&cluster), &request, TIMEOUT).expect("a response");
-    assert!(matches!(response.status, 503 | 504), "{}", response.status);
+    let response =
+        request_once(edge(&cluster), &request, TIMEOUT).expect("the request should get a response");
+    assert!(
+        matches!(response.status, 503 | 504),
+        "status {}, expected 503 or 504",
+        response.status
+    );
     assert!(
         started.elapsed() < Duration::from_millis(800),
         "responded after {:?}",
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -43,7 +43,7 @@
                 for _ in 0..6 {
                     client
                         .submit(&queue, &Job::new(vec![Step::new(2, 300)]))
-                        .expect("an accepted job");
+                        .expect("the job should be accepted");
                 }
             })
         })
@@ -57,7 +57,7 @@
     cluster.system.kill(head);
     submitting
         .into_iter()
-        .for_each(|client| client.join().expect("all jobs"));
+        .for_each(|client| client.join().expect("a client thread should not panic"));
     cluster.start_machine(head);
     cluster.finish();
 }
@@ -86,10 +86,16 @@
     let first = cluster.submit(QUICK, &steps());
     cluster.wait_started(&first);
     let head = cluster.head();
-    cluster.system.freeze(head).expect("frozen");
+    cluster
+        .system
+        .freeze(head)
+        .expect("the process should accept SIGSTOP");
     let second = cluster.submit(QUICK, &steps());
     cluster.wait_started(&second);
-    cluster.system.thaw(head).expect("thawed");
+    cluster
+        .system
+        .thaw(head)
+        .expect("the process should accept SIGCONT");
     let third = cluster.submit(QUICK, &steps());
     cluster.expect_all_completed(&[first, second, third]);
     cluster.finish();
@@ -147,7 +153,10 @@
     assert!(cluster.state(&waiting).is_some());
     let job = cluster.submit(QUICK, &steps());
     cluster.expect_completed(&job);
-    cluster.client.cancel(&waiting).expect("cancelled");
+    cluster
+        .client
+        .cancel(&waiting)
+        .expect("the cancellation should be acknowledged");
     cluster.finish();
 }
 
--- a/crates/system-tests/tests/hardening.rs
+++ b/crates/system-tests/tests/hardening.rs
@@ -61,17 +61,33 @@
     cluster.thaw_machines(&[head, other]);
     let newest =
         |response: &Response| response.status != 200 || response.json() == second.to_json();
-    let responses = readers
-        .into_iter()
-        .filter_map(|thread| thread.join().expect("a client").ok());
-    responses.for_each(|response| assert!(newest(&response), "{}", response.json()));
+    let responses = readers.into_iter().filter_map(|thread| {
+        thread
+            .join()
+            .expect("the reader's thread should not panic")
+            .ok()
+    });
+    responses.for_each(|response| {
+        assert!(
+            newest(&response),
+            "stale configuration: {}",
+            response.json()
+        );
+    });
     let late_status = late_put
         .join()
-        .expect("an operator")
+        .expect("the operator's thread should not panic")
         .map_or(0, |response| response.status);
-    assert_ne!(late_status, 200, "a put on a version that is not current");
+    assert_ne!(
+        late_status, 200,
+        "the resumed head accepted a put on an outdated version"
+    );
     assert_eq!(
-        cluster.operator.request(&late).expect("a response").status,
+        cluster
+            .operator
+            .request(&late)
+            .expect("the request should get a response")
+            .status,
         412
     );
     assert_eq!(cluster.read_configuration(), second.to_json());
@@ -90,12 +106,21 @@
         let head = cluster.head();
         let senders = requests.clone().map(|request| {
             let operator = cluster.operator.clone();
-            std::thread::spawn(move || operator.request(&request).expect("a clear response").status)
+            std::thread::spawn(move || {
+                operator
+                    .request(&request)
+                    .expect("a core member should give a clear response")
+                    .status
+            })
         });
         if after == 1 {
             cluster.system.kill(head);
         }
-        let statuses = senders.map(|sender| sender.join().expect("an operator"));
+        let statuses = senders.map(|sender| {
+            sender
+                .join()
+                .expect("the operator's thread should not panic")
+        });
         if after == 2 {
             cluster.system.kill(head);
         }
@@ -103,7 +128,7 @@
             cluster
                 .operator
                 .request(&request)
-                .expect("a clear response")
+                .expect("a core member should give a clear response")
                 .status
         });
         assert_eq!(retried, statuses, "iteration {iteration}");
@@ -155,12 +180,18 @@
     let present: Vec<MachineId> = cores.into_iter().filter(|core| *core != old).collect();
     let lost = cluster.head();
     cluster.kill_machines(&present);
-    cluster.system.wipe(lost).expect("an empty disk");
+    cluster
+        .system
+        .wipe(lost)
+        .expect("the disk should be emptied");
     cluster.start_machines(&present);
     assert_eq!(cluster.read_configuration(), second.to_json());
     assert!(cluster.state(&waiting).is_some());
     cluster.expect_completed(&submitted);
-    cluster.client.cancel(&waiting).expect("cancelled");
+    cluster
+        .client
+        .cancel(&waiting)
+        .expect("the cancellation should be acknowledged");
     cluster.finish();
 }
 
@@ -189,7 +220,7 @@
                 cluster
                     .operator
                     .patch(&first, 1)
-                    .expect("a response")
+                    .expect("the request should get a response")
                     .status,
                 412
             );
@@ -200,7 +231,7 @@
         cluster.head();
         cluster.start_machine(head);
     }
-    panic!("the member never led in {HEADS_MAX} changes of the head");
+    panic!("the restarted member did not become head in {HEADS_MAX} changes of the head");
 }
 
 /// A member's database is corrupt, and its settings still have `bootstrap` set. It must not vote like a member of a new
@@ -215,7 +246,10 @@
     let second = labelled(2, "second");
     cluster.put(&second, 1);
     cluster.kill_machines(&[head, third]);
-    cluster.system.corrupt_database(head).expect("damaged");
+    cluster
+        .system
+        .corrupt_database(head)
+        .expect("the database should be overwritten");
     cluster.system.set_bootstrap(head);
     cluster.start_machines(&[head, away]);
     let members = [head, away].map(|core| cluster.system.control_plane(core));
@@ -224,7 +258,14 @@
         let responses = members
             .iter()
             .filter_map(|member| cluster.operator.request_once(*member, &read_request()).ok());
-        responses.for_each(|response| assert_ne!(response.status, 200, "{}", response.json()));
+        responses.for_each(|response| {
+            assert_ne!(
+                response.status,
+                200,
+                "a configuration without a safe quorum: {}",
+                response.json()
+            );
+        });
     }
     cluster.start_machine(third);
     assert_eq!(cluster.read_configuration(), second.to_json());
@@ -248,7 +289,7 @@
         cluster
             .client
             .submit_truncated(edge, &one, &job, bytes)
-            .expect("sent");
+            .expect("the truncated request should be sent");
         submitted.push(one);
     }
     for one in &submitted {
@@ -257,7 +298,12 @@
         let responses = edges
             .into_iter()
             .map(|edge| cluster.client.submit_once(edge, one, &job));
-        responses.for_each(|response| assert_eq!(response.expect("a response").status, 200));
+        responses.for_each(|response| {
+            assert_eq!(
+                response.expect("the request should get a response").status,
+                200
+            );
+        });
         cluster.expect_completed(one);
     }
     cluster.finish();
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -83,7 +83,7 @@
         cluster
             .client
             .wait_end(&submitted, JOB_TIMEOUT)
-            .expect("an end"),
+            .expect("the job should end in time"),
         JobState::Failed
     );
     let failures = cluster.count_ends(&submitted, EndReason::Failed);
@@ -126,14 +126,21 @@
         (last.count() >= 2).then_some(())
     });
     assert_eq!(cluster.state(&submitted), Some(JobState::Running));
-    cluster.client.cancel(&submitted).expect("cancelled");
+    cluster
+        .client
+        .cancel(&submitted)
+        .expect("the cancellation should be acknowledged");
     let all_ended = |record: &Record| {
         (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
     };
     cluster
         .environment
-        .wait_until("the ends of what was cancelled", STOP_TIMEOUT, all_ended)
-        .expect("all ends");
+        .wait_until(
+            "the ends of the cancelled job's runs",
+            STOP_TIMEOUT,
+            all_ended,
+        )
+        .expect("all runs of the cancelled job should end in time");
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
     cluster.check();
 }
@@ -144,11 +151,14 @@
     let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
     let submitted = cluster.submit(QUICK, &nowhere);
     assert_eq!(cluster.state(&submitted), Some(JobState::Queued));
-    cluster.client.cancel(&submitted).expect("cancelled");
     cluster
         .client
         .cancel(&submitted)
-        .expect("cancelled once more");
+        .expect("the cancellation should be acknowledged");
+    cluster
+        .client
+        .cancel(&submitted)
+        .expect("a repeated cancellation should be acknowledged");
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
     assert_eq!(cluster.count_starts(&submitted), 0);
     cluster.finish();
@@ -170,7 +180,7 @@
             scope.spawn(|| {
                 let response = client
                     .submit_once(*edge, &submitted, &job)
-                    .expect("a response");
+                    .expect("the request should get a response");
                 assert_eq!(response.status, 200);
             });
         }
@@ -179,7 +189,7 @@
     // A submission with the same id after the job's end still refers to the same job.
     let response = client
         .submit_once(client.edges()[0], &submitted, &job)
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(response.status, 200);
     assert_eq!(cluster.count_starts(&submitted), 3);
     cluster.finish();
@@ -201,7 +211,7 @@
     let pending = cluster
         .client
         .request(&Request::new("GET", QUICK))
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(
         (pending.status, pending.json()["pending"].as_u64()),
         (200, Some(0))
@@ -242,7 +252,7 @@
             let response = cluster
                 .client
                 .request_at(*edge, &request)
-                .expect("a response");
+                .expect("the request should get a response");
             assert_eq!(
                 response.status, status,
                 "{} {}",
@@ -266,14 +276,17 @@
             cluster
                 .client
                 .request_at(*edge, &Request::new("GET", BATCH))
-                .expect("a response")
+                .expect("the request should get a response")
                 .json()["pending"]
                 .as_u64()
         })
         .collect();
     assert_eq!(counts, BTreeSet::from([Some(3)]));
-    submitted
-        .iter()
-        .for_each(|job| cluster.client.cancel(job).expect("cancelled"));
+    submitted.iter().for_each(|job| {
+        cluster
+            .client
+            .cancel(job)
+            .expect("the cancellation should be acknowledged");
+    });
     cluster.check();
 }
--- a/crates/system-tests/tests/oracle.rs
+++ b/crates/system-tests/tests/oracle.rs
@@ -73,7 +73,11 @@
     fixture.start(0, "0.0.0", 1);
     fixture.wait_ends(EndReason::Done, 1);
     fixture.start(1, "0.0.0", 2);
-    assert_eq!(fixture.broken(), [], "nobody has heard of the end");
+    assert_eq!(
+        fixture.broken(),
+        [],
+        "the end has not been acknowledged yet"
+    );
     fixture.acknowledge_ends(0, 1);
     assert_eq!(fixture.broken(), [Rule::Twice]);
 }
@@ -214,7 +218,11 @@
     fixture.start(0, "0.0.0", 1);
     fixture.environment.cancel_sent(JOB);
     fixture.environment.cancel_acknowledged(JOB);
-    assert_eq!(fixture.broken(), [], "there is time for it");
+    assert_eq!(
+        fixture.broken(),
+        [],
+        "within the time allowed after a cancellation"
+    );
     fixture.pass(Duration::from_millis(40));
     fixture.start(1, "0.0.1", 1);
     assert_eq!(
--- a/crates/system-tests/tests/oracle_support/mod.rs
+++ b/crates/system-tests/tests/oracle_support/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) fn queue() -> Queue {
     Configuration::standard(1)
         .queue(QUICK)
-        .expect("a queue")
+        .expect("the standard configuration should have this queue")
         .clone()
 }
 
@@ -140,7 +140,7 @@
     /// The next heartbeat of a worker.
     pub(crate) fn heartbeat(&self, worker: usize) -> Heartbeat {
         let heartbeat = self.environment.heartbeat(self.instances[worker]);
-        heartbeat.expect("a heartbeat").1
+        heartbeat.expect("the instance should not have ended").1
     }
 
     /// The job's text.
@@ -159,7 +159,7 @@
         let ended = self.environment.wait_until("ends", TIMEOUT, |record| {
             (record.count_ends(JOB, reason) >= count).then_some(())
         });
-        ended.expect("ends");
+        ended.expect("enough runs should end in time");
     }
 
     /// Reasons of all ends of the job's runs, in order.
@@ -183,6 +183,6 @@
         let passed = self.environment.wait_until("time", TIMEOUT, |_| {
             (self.environment.now() > until).then_some(())
         });
-        passed.expect("time passes");
+        passed.expect("the time to wait should be shorter than the timeout");
     }
 }
--- a/crates/system-tests/tests/recovery.rs
+++ b/crates/system-tests/tests/recovery.rs
@@ -42,11 +42,14 @@
         .iter()
         .copied()
         .find(|core| (*core == head) == wipes_head)
-        .expect("a member");
+        .expect("the core should have such a member");
     let submitted = cluster.submit(QUICK, &steps());
     cluster.patch(&addition(2), 1);
     cluster.kill_machines(&cores);
-    cluster.system.wipe(wiped).expect("an empty disk");
+    cluster
+        .system
+        .wipe(wiped)
+        .expect("the disk should be emptied");
     cluster.start_machines(&cores);
     assert_eq!(cluster.read_configuration()["version"], 2);
     cluster.expect_completed(&submitted);
@@ -70,11 +73,11 @@
     for version in 2..=VERSIONS {
         let response = operator
             .patch(&addition(version), version - 1)
-            .expect("a response");
+            .expect("the request should get a response");
         assert_eq!(
             response.status,
             200,
-            "version {version}: {}",
+            "version {version} should be accepted: {}",
             response.json()
         );
         acknowledged.store(version, Ordering::Release);
@@ -118,8 +121,11 @@
     let (killed, _) = cores.split_at(2);
     cluster.kill_machines(killed);
     cluster.wait_for("refusals", START_TIMEOUT, || {
-        let response = submit_new(&cluster).expect("a response");
-        assert!(!response.is_success(), "accepted by a minority");
+        let response = submit_new(&cluster).expect("the request should get a response");
+        assert!(
+            !response.is_success(),
+            "a job was accepted without a majority"
+        );
         (response.status == 503 && response.header("retry-after").is_some()).then_some(())
     });
     cluster.start_machines(killed);
@@ -153,7 +159,10 @@
     cluster.start_machine(head);
     // A put without a response may or may not have taken effect.
     let version = cluster.read_configuration()["version"].clone();
-    assert!(version == 1 || version == 2, "{version}");
+    assert!(
+        version == 1 || version == 2,
+        "version {version}, expected 1 or 2"
+    );
     let job = cluster.submit(QUICK, &steps());
     cluster.expect_completed(&job);
     cluster.finish();
@@ -164,11 +173,14 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let submitted = cluster.submit(BATCH, &Job::new(vec![Step::new(3, 20_000)]));
     cluster.wait_started(&submitted);
-    cluster.client.cancel(&submitted).expect("cancelled");
+    cluster
+        .client
+        .cancel(&submitted)
+        .expect("the cancellation should be acknowledged");
     let head = cluster.head();
     cluster.system.kill(head);
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
-    cluster.wait_for_record("the end of what ran", |record| {
+    cluster.wait_for_record("the ends of the cancelled job's runs", |record| {
         (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
     });
     cluster.start_machine(head);
--- a/crates/system-tests/tests/scheduling.rs
+++ b/crates/system-tests/tests/scheduling.rs
@@ -32,7 +32,10 @@
     let urgent = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 200).cpu(1_000)]));
     cluster.expect_completed(&urgent);
     let done = cluster.count_ends(&long, EndReason::Done);
-    assert_eq!(done, 0, "the urgent job has waited");
+    assert_eq!(
+        done, 0,
+        "the urgent job completed only after a long task was done"
+    );
     cluster.finish();
 }
 
@@ -68,11 +71,17 @@
     let submitted = cluster.submit(QUICK, &Job::new(vec![step, Step::new(1, 50).after(&[0])]));
     cluster.wait_starts(&submitted, 700);
     let side = cluster.system.sides()[0];
-    cluster.system.freeze(side).expect("frozen");
+    cluster
+        .system
+        .freeze(side)
+        .expect("the process should accept SIGSTOP");
     cluster.wait_for_record("all ends", |record| {
         (record.ends(&submitted.id).count() == 700).then_some(())
     });
-    cluster.system.thaw(side).expect("thawed");
+    cluster
+        .system
+        .thaw(side)
+        .expect("the process should accept SIGCONT");
     cluster.expect_completed(&submitted);
     cluster.finish();
 }
@@ -100,9 +109,12 @@
     let pending = cluster
         .client
         .request(&Request::new("GET", QUICK))
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(pending.json()["pending"], 1);
-    cluster.client.cancel(&waiting).expect("cancelled");
+    cluster
+        .client
+        .cancel(&waiting)
+        .expect("the cancellation should be acknowledged");
     cluster.finish();
 }
 
@@ -126,6 +138,6 @@
         }
         most
     });
-    assert!(together >= 2, "the repetitions ran one after another");
+    assert!(together >= 2, "the repetitions did not overlap");
     cluster.finish();
 }
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -74,11 +74,11 @@
         let enough = || (count.load(Ordering::Relaxed) >= REQUESTS_BEFORE).then_some(());
         signal
             .wait_until("responses", JOB_TIMEOUT, enough)
-            .expect("responses");
+            .expect("enough responses should arrive in time");
         cluster.terminate_and_wait(edge);
         callers
             .into_iter()
-            .flat_map(|caller| caller.join().expect("a caller"))
+            .flat_map(|caller| caller.join().expect("the calling thread should not panic"))
             .collect::<Vec<_>>()
     });
     assert!(lost.is_empty(), "requests were lost: {lost:?}");
@@ -94,11 +94,11 @@
         (record.jobs.len() == CALLERS).then(|| environment.now())
     });
     // A request whose connection is lost later than this has been read.
-    let read = sent.expect("requests") + slack;
+    let read = sent.expect("all callers should send their requests in time") + slack;
     let waiting = environment.wait_until("pending requests", JOB_TIMEOUT, |_| {
         (environment.now() > read).then_some(())
     });
-    waiting.expect("pending requests");
+    waiting.expect("the slack should pass in time");
 }
 
 /// Requests wait at an edge for a frozen head when the edge receives SIGTERM. The edge completes them before it exits.
@@ -110,7 +110,10 @@
         cluster.environment.bounds().loss_slack,
     );
     let head = cluster.head();
-    cluster.system.freeze(head).expect("frozen");
+    cluster
+        .system
+        .freeze(head)
+        .expect("the process should accept SIGSTOP");
     let (client, queue) = (
         cluster.client.at(&[cluster.system.frontend(edge)]),
         cluster.queue(QUICK),
@@ -122,12 +125,21 @@
         })
         .collect();
     wait_pending(&cluster, slack);
-    cluster.system.terminate(edge).expect("a signal");
+    cluster
+        .system
+        .terminate(edge)
+        .expect("the edge should accept SIGTERM");
     let unready = || (!cluster.is_ready(edge)).then_some(());
     cluster.wait_for("an edge that is not ready", JOB_TIMEOUT, unready);
-    cluster.system.thaw(head).expect("thawed");
+    cluster
+        .system
+        .thaw(head)
+        .expect("the process should accept SIGCONT");
     for client in submitting {
-        if let Err(error) = client.join().expect("a client") {
+        if let Err(error) = client
+            .join()
+            .expect("the submitting thread should not panic")
+        {
             assert!(!is_lost(&error, slack), "a request was lost: {error}");
         }
     }
@@ -135,7 +147,7 @@
         cluster
             .system
             .wait_exit(edge)
-            .expect("an end in time")
+            .expect("the edge should exit within the grace time after SIGTERM")
             .success()
     );
     cluster.finish();
@@ -150,12 +162,12 @@
 fn an_idle_connection_does_not_keep_an_edge_from_ending() {
     let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let edge = cluster.system.edges()[0];
-    let mut idle =
-        Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT).expect("a connection");
+    let mut idle = Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT)
+        .expect("the edge should accept a connection");
     let request = Request::new("GET", QUICK).header("Host", HOST);
     assert_eq!(
         idle.request(&request, RESPONSE_TIMEOUT)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -192,8 +204,10 @@
         while !until.load(Ordering::Relaxed) {
             let submitted = client
                 .submit(&queue, &Job::new(vec![Step::new(2, 150)]))
-                .expect("an accepted job");
-            client.wait_end(&submitted, JOB_TIMEOUT).expect("an end");
+                .expect("the job should be accepted");
+            client
+                .wait_end(&submitted, JOB_TIMEOUT)
+                .expect("the job should end in time");
         }
     });
     let machines = [
@@ -209,6 +223,8 @@
         cluster.expect_completed(&done);
     }
     stopping.store(true, Ordering::Relaxed);
-    submitting.join().expect("all jobs");
+    submitting
+        .join()
+        .expect("the submitting thread should not panic");
     cluster.finish();
 }
--- a/crates/system-tests/tests/workers.rs
+++ b/crates/system-tests/tests/workers.rs
@@ -79,7 +79,9 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let long = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 6_000).checkpoints()]));
     let worker = &cluster.workers[cluster.wait_started(&long)];
-    let instance = worker.instance().expect("an instance");
+    let instance = worker
+        .instance()
+        .expect("the worker should have an instance");
     worker.drain(Duration::from_millis(3_000));
     let acknowledged = cluster.wait_for_record("a draining worker", |record| {
         record
@@ -105,7 +107,8 @@
             let mut starts = record.starts(&job.id);
             assert!(
                 starts.all(|start| start.instance != instance),
-                "a start on the draining worker"
+                "a run of job {} started on the draining worker",
+                job.id
             );
         }
         assert!(entries_before < record.entries.len());
@@ -119,7 +122,9 @@
     let first = cluster.submit(QUICK, &Job::single(100));
     cluster.expect_completed(&first);
     let worker = &cluster.workers[0];
-    let instance = worker.instance().expect("an instance");
+    let instance = worker
+        .instance()
+        .expect("the worker should have an instance");
     worker.drain(Duration::from_millis(2_000));
     cluster.wait_for("the end of the instance", JOB_TIMEOUT, || {
         (!cluster.environment.is_up(instance)).then_some(())
@@ -135,14 +140,20 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(3, 2_000)]));
     let side = cluster.system.sides()[cluster.wait_started(&submitted)];
-    cluster.system.freeze(side).expect("frozen");
+    cluster
+        .system
+        .freeze(side)
+        .expect("the process should accept SIGSTOP");
     cluster.wait_for_record("the expiry of the run lease", |record| {
         let ends = record
             .ends(&submitted.id)
             .filter(|end| matches!(end.reason, EndReason::Expired | EndReason::Done));
         (ends.count() == 3).then_some(())
     });
-    cluster.system.thaw(side).expect("thawed");
+    cluster
+        .system
+        .thaw(side)
+        .expect("the process should accept SIGCONT");
     cluster.expect_completed(&submitted);
     cluster.finish();
 }
@@ -156,14 +167,16 @@
         for _ in 0..30 {
             client
                 .submit(&queue, &Job::single(50))
-                .expect("an accepted job");
+                .expect("the job should be accepted");
         }
     });
     cluster.wait_for_record("some jobs", |record| {
         (record.jobs.len() >= 10).then_some(())
     });
     cluster.system.kill(edge);
-    submitting.join().expect("all jobs");
+    submitting
+        .join()
+        .expect("the submitting thread should not panic");
     cluster.start_machine(edge);
     cluster.wait_edge(edge);
     cluster.finish();
