--- a/crates/system-tests/src/checks/jobs.rs
+++ b/crates/system-tests/src/checks/jobs.rs
@@ -137,10 +137,10 @@
         })
     };
     let steps = job.job.stages.iter().enumerate();
-    let tasks = steps.flat_map(|(step, shape)| {
+    let tasks = steps.flat_map(|(step, definition)| {
         let repeats = 0..job.job.repeats();
         repeats.flat_map(move |repeat| {
-            (0..shape.count).map(move |index| TaskName {
+            (0..definition.count).map(move |index| TaskName {
                 job: id.to_owned(),
                 repeat,
                 step,
--- a/crates/system-tests/src/client.rs
+++ b/crates/system-tests/src/client.rs
@@ -93,7 +93,7 @@
     }
 
     /// The same client, restricted to these edges.
-    pub fn at(&self, edges: &[SocketAddr]) -> Self {
+    pub fn with_edges(&self, edges: &[SocketAddr]) -> Self {
         Client::new(edges.to_vec(), &self.environment)
     }
 
@@ -115,7 +115,7 @@
         let submitted = SubmittedJob::new(queue);
         let what = format!("job {}", submitted.id);
         let response = self.retry(&what, || self.submit_once(self.any_edge(), &submitted, job))?;
-        expect(response, Response::is_success, &what)?;
+        check_response(response, Response::is_success, &what)?;
         Ok(submitted)
     }
 
@@ -182,7 +182,7 @@
             _ => None,
         };
         if state.is_none() && response.status != 410 {
-            return expect(response, |_| false, &what).map(|_| None);
+            return check_response(response, |_| false, &what).map(|_| None);
         }
         self.environment
             .job_shown(&submitted.id, requested_at, state);
@@ -240,7 +240,7 @@
         self.environment.cancel_sent(&submitted.id);
         let request = Request::new("DELETE", submitted.path());
         let response = self.retry(&what, || self.request_at(self.any_edge(), &request))?;
-        expect(response, Response::is_success, &what)?;
+        check_response(response, Response::is_success, &what)?;
         self.environment.cancel_acknowledged(&submitted.id);
         Ok(())
     }
@@ -297,7 +297,7 @@
     }
 }
 
-fn expect(
+fn check_response(
     response: Response,
     good: impl Fn(&Response) -> bool,
     what: &str,
--- a/crates/system-tests/src/cluster.rs
+++ b/crates/system-tests/src/cluster.rs
@@ -9,7 +9,7 @@
 use crate::http::{HttpError, Request, Response, request_once};
 use crate::operator::Operator;
 use crate::settings::Bounds;
-use crate::system::{MachineId, Programs, Shape, System};
+use crate::system::{MachineCounts, MachineId, Programs, System};
 use crate::wait::Signal;
 use crate::wire::Capacity;
 use crate::worker::Worker;
@@ -57,10 +57,10 @@
     /// # Panics
     ///
     /// If no addresses or folders can be reserved.
-    pub fn prepare(programs: Programs, shape: Shape) -> Self {
+    pub fn prepare(programs: Programs, counts: MachineCounts) -> Self {
         let (bounds, signal) = (Bounds::default(), Arc::new(Signal::default()));
         let system =
-            System::new(programs, shape, bounds, &signal).expect("the machines should be set up");
+            System::new(programs, counts, bounds, &signal).expect("the machines should be set up");
         let environment = Environment::new(bounds, signal.clone());
         let cores = system.cores().into_iter();
         let members = cores.map(|core| system.control_plane(core)).collect();
@@ -78,8 +78,8 @@
     }
 
     /// Starts a cluster: all processes, a worker for each node agent, and the first configuration in force.
-    pub fn start(programs: Programs, shape: Shape) -> Self {
-        let mut cluster = Cluster::prepare(programs, shape);
+    pub fn start(programs: Programs, counts: MachineCounts) -> Self {
+        let mut cluster = Cluster::prepare(programs, counts);
         let system = &cluster.system;
         let machines = [system.cores(), system.edges(), system.sides()].concat();
         cluster.start_with_workers(&machines);
@@ -256,9 +256,9 @@
     }
 
     /// All core machines except one.
-    pub fn other_cores(&self, but: MachineId) -> Vec<MachineId> {
+    pub fn other_cores(&self, except: MachineId) -> Vec<MachineId> {
         let cores = self.system.cores().into_iter();
-        cores.filter(|core| *core != but).collect()
+        cores.filter(|core| *core != except).collect()
     }
 
     /// Exempts the test from checks that do not apply to the faults it injects.
--- a/crates/system-tests/src/cluster/steps.rs
+++ b/crates/system-tests/src/cluster/steps.rs
@@ -116,7 +116,7 @@
     }
 
     /// Submits small jobs for `time`, each after the one before has completed.
-    pub fn work_for(&self, time: Duration) {
+    pub fn submit_jobs_for(&self, time: Duration) {
         let until = self.environment.now() + time;
         while self.environment.now() < until {
             let submitted = self.submit(QUICK, &Job::single(50));
--- a/crates/system-tests/src/environment/instance.rs
+++ b/crates/system-tests/src/environment/instance.rs
@@ -62,7 +62,7 @@
     /// The present runs, including those that are being stopped.
     pub runs: BTreeMap<RunName, Run>,
     /// For each task, the highest attempt that was stopped or has ended here; starts up to this attempt are refused.
-    barred: HashMap<TaskName, u32>,
+    refused_up_to: HashMap<TaskName, u32>,
     /// Ends that have not been acknowledged.
     pub ended_runs: EndedRuns,
     /// Sequence number of the last heartbeat.
@@ -81,7 +81,7 @@
             lease_until: None,
             last_expiry: None,
             runs: BTreeMap::new(),
-            barred: HashMap::new(),
+            refused_up_to: HashMap::new(),
             ended_runs: EndedRuns::default(),
             seq_no: 0,
             drain: None,
@@ -152,15 +152,15 @@
 
     /// Whether a start of this run is refused: this or a later attempt of its task was stopped or has ended here.
     pub(super) fn refuses(&self, run: &RunName) -> bool {
-        self.barred
+        self.refused_up_to
             .get(&run.task)
-            .is_some_and(|barred| run.attempt <= *barred)
+            .is_some_and(|highest| run.attempt <= *highest)
     }
 
     /// Refuses starts of this attempt of the task and of all earlier ones from now on.
-    pub(super) fn bar(&mut self, run: &RunName) {
-        let barred = self.barred.entry(run.task.clone()).or_default();
-        *barred = run.attempt.max(*barred);
+    pub(super) fn refuse_up_to(&mut self, run: &RunName) {
+        let highest = self.refused_up_to.entry(run.task.clone()).or_default();
+        *highest = run.attempt.max(*highest);
     }
 
     /// Acknowledges the ends up to a number, and returns those after which the run lease has not expired.
--- a/crates/system-tests/src/environment/run.rs
+++ b/crates/system-tests/src/environment/run.rs
@@ -14,7 +14,7 @@
 
 /// How a run ends unless an order or a fault ends it earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum PlannedEnd {
     /// Ends `done` once its work is done.
     Done,
     /// Fails halfway through its work.
@@ -41,7 +41,7 @@
     pub name: RunName,
     /// Whether its step is a gang.
     pub gang: bool,
-    fate: Fate,
+    planned_end: PlannedEnd,
     /// Total work; progress grows from zero to this.
     work: Duration,
     /// Whether it writes checkpoints.
@@ -60,7 +60,7 @@
     pub(super) fn new(
         name: RunName,
         step: &Step,
-        fate: Fate,
+        planned_end: PlannedEnd,
         checkpoint: String,
         bounds: &Bounds,
         now: Moment,
@@ -68,7 +68,7 @@
         let mut run = Run {
             name,
             gang: step.gang,
-            fate,
+            planned_end,
             work: step.behaviour.work,
             checkpoints: step.checkpoints,
             phase: Phase::Waiting {
@@ -109,13 +109,15 @@
     pub(super) fn due(&self) -> Option<(Moment, EndReason)> {
         let own = match self.phase {
             Phase::Waiting { until } => Some((until, EndReason::Alone)),
-            Phase::Working { from, before } => match self.fate {
-                Fate::Done => Some((from + self.work.saturating_sub(before), EndReason::Done)),
-                Fate::Fails => Some((
+            Phase::Working { from, before } => match self.planned_end {
+                PlannedEnd::Done => {
+                    Some((from + self.work.saturating_sub(before), EndReason::Done))
+                }
+                PlannedEnd::Fails => Some((
                     from + (self.work / 2).saturating_sub(before),
                     EndReason::Failed,
                 )),
-                Fate::Hangs | Fate::RunsUntilStopped => None,
+                PlannedEnd::Hangs | PlannedEnd::RunsUntilStopped => None,
             },
         };
         let stop = self.stop_at.map(|at| (at, EndReason::Stopped));
@@ -124,7 +126,7 @@
 
     fn progress(&self, now: Moment) -> Duration {
         match self.phase {
-            Phase::Working { from, before } if self.fate != Fate::Hangs => {
+            Phase::Working { from, before } if self.planned_end != PlannedEnd::Hangs => {
                 (before + now.saturating_sub(from)).min(self.work)
             }
             Phase::Working { before, .. } => before,
--- a/crates/system-tests/src/environment/state.rs
+++ b/crates/system-tests/src/environment/state.rs
@@ -172,7 +172,7 @@
             return;
         };
         let checkpoint = run.final_checkpoint(reason, at);
-        instance.bar(name);
+        instance.refuse_up_to(name);
         instance
             .ended_runs
             .add(name.clone(), reason, checkpoint, at);
--- a/crates/system-tests/src/environment/state/orders.rs
+++ b/crates/system-tests/src/environment/state/orders.rs
@@ -3,7 +3,7 @@
 use super::State;
 use crate::environment::instance::Instance;
 use crate::environment::record::{Event, InstanceIndex, Moment};
-use crate::environment::run::{Fate, Run, is_checkpoint_of};
+use crate::environment::run::{PlannedEnd, Run, is_checkpoint_of};
 use crate::job::Step;
 use crate::task::{RunName, TaskName};
 use crate::wire::{EndReason, HeartbeatResponse, StartOrder, StopOrder};
@@ -71,7 +71,7 @@
         let (bounds, instance) = (self.bounds, &mut self.instances[index.0]);
         match instance.runs.get_mut(&run) {
             Some(present) => present.stop(&bounds, now),
-            None => instance.bar(&run),
+            None => instance.refuse_up_to(&run),
         }
     }
 
@@ -129,8 +129,15 @@
         checkpoint: String,
         now: Moment,
     ) {
-        let fate = self.fate_of(&name.task, step);
-        let run = Run::new(name.clone(), step, fate, checkpoint, &self.bounds, now);
+        let planned_end = self.planned_end_of(&name.task, step);
+        let run = Run::new(
+            name.clone(),
+            step,
+            planned_end,
+            checkpoint,
+            &self.bounds,
+            now,
+        );
         self.instances[index.0].runs.insert(name.clone(), run);
         if step.gang {
             self.begin_gang(&name, step.count, now);
@@ -155,19 +162,19 @@
     }
 
     /// Chooses how a run ends from its step's behaviour, and counts the run among the task's attempts.
-    fn fate_of(&mut self, task: &TaskName, step: &Step) -> Fate {
+    fn planned_end_of(&mut self, task: &TaskName, step: &Step) -> PlannedEnd {
         let attempts = self.attempts.entry(task.clone()).or_default();
         *attempts += 1;
         // Only the first member of a gang fails; its failure ends the others.
         let may_fail = !step.gang || task.index == 0;
         if step.behaviour.first_hangs && *attempts == 1 {
-            Fate::Hangs
+            PlannedEnd::Hangs
         } else if may_fail && *attempts <= step.behaviour.failures {
-            Fate::Fails
+            PlannedEnd::Fails
         } else if step.long_running {
-            Fate::RunsUntilStopped
+            PlannedEnd::RunsUntilStopped
         } else {
-            Fate::Done
+            PlannedEnd::Done
         }
     }
 
--- a/crates/system-tests/src/operator.rs
+++ b/crates/system-tests/src/operator.rs
@@ -38,7 +38,7 @@
     },
     /// No member acts as head.
     #[snafu(display("no member acts as head: {source}"))]
-    Headless {
+    NoHead {
         /// How long the operator waited.
         source: TimedOut,
     },
@@ -155,7 +155,7 @@
         };
         self.signal
             .wait_until("a head", at_most, probe)
-            .map_err(|source| OperatorError::Headless { source })
+            .map_err(|source| OperatorError::NoHead { source })
     }
 
     fn is_head(&self, member: SocketAddr) -> bool {
--- a/crates/system-tests/src/system.rs
+++ b/crates/system-tests/src/system.rs
@@ -34,7 +34,7 @@
 
 /// Number of machines of each class.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct MachineCounts {
     /// Number of core machines.
     pub cores: usize,
     /// Number of edge machines.
@@ -43,27 +43,27 @@
     pub sides: usize,
 }
 
-impl Shape {
+impl MachineCounts {
     /// The default number of machines of each class, except for the core machines.
     pub fn with_cores(cores: usize) -> Self {
-        Shape {
+        MachineCounts {
             cores,
-            ..Shape::default()
+            ..MachineCounts::default()
         }
     }
 
     /// The default number of machines of each class, except for the side machines.
     pub fn with_sides(sides: usize) -> Self {
-        Shape {
+        MachineCounts {
             sides,
-            ..Shape::default()
+            ..MachineCounts::default()
         }
     }
 }
 
-impl Default for Shape {
+impl Default for MachineCounts {
     fn default() -> Self {
-        Shape {
+        MachineCounts {
             cores: 3,
             edges: 2,
             sides: 3,
@@ -121,7 +121,7 @@
     /// [`SystemError`] if a folder cannot be created.
     pub fn new(
         programs: Programs,
-        shape: Shape,
+        counts: MachineCounts,
         bounds: Bounds,
         signal: &Arc<Signal>,
     ) -> Result<Self, SystemError> {
@@ -130,9 +130,9 @@
         })?;
         let network = Network::reserve();
         let classes = [
-            (MachineClass::Core, shape.cores),
-            (MachineClass::Edge, shape.edges),
-            (MachineClass::Side, shape.sides),
+            (MachineClass::Core, counts.cores),
+            (MachineClass::Edge, counts.edges),
+            (MachineClass::Side, counts.sides),
         ];
         let mut machines = Vec::new();
         for (class, count) in classes {
--- a/crates/system-tests/src/worker.rs
+++ b/crates/system-tests/src/worker.rs
@@ -15,9 +15,9 @@
 /// Upper bound of a response's body, in bytes; a heartbeat with a larger response counts as not acknowledged.
 const RESPONSE_BYTES_MAX: usize = 4 << 20;
 /// Time from the end of a run to the heartbeat that reports it.
-const AFTER_END: Duration = Duration::from_millis(50);
+const DELAY_AFTER_END: Duration = Duration::from_millis(50);
 /// Time until the next heartbeat after one that was not acknowledged.
-const AFTER_FAILURE: Duration = Duration::from_millis(100);
+const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
 /// Time after which a worker ends even if its deregistration is not acknowledged.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Longest time between two reads of [`WorkerControl`].
@@ -179,14 +179,14 @@
             return now;
         }
         let unsent_end = self.environment.unsent_end(instance);
-        let after_end = unsent_end.map(|end| end.max(self.last_heartbeat) + AFTER_END);
+        let after_end = unsent_end.map(|end| end.max(self.last_heartbeat) + DELAY_AFTER_END);
         let next = after_end.map_or(due, |after_end| due.min(after_end));
         if next > now {
             let wait = (next - now).min(POLL_INTERVAL);
             self.environment.signal().wait_past(observed, wait);
             return due;
         }
-        let delay = self.send_heartbeat(instance).unwrap_or(AFTER_FAILURE);
+        let delay = self.send_heartbeat(instance).unwrap_or(DELAY_AFTER_FAILURE);
         self.last_heartbeat = self.environment.now();
         self.last_heartbeat + delay
     }
@@ -205,8 +205,8 @@
         if !response.is_success() || !in_time || response.body.len() > RESPONSE_BYTES_MAX {
             return None;
         }
-        match read_response(&response.body) {
-            Ok(response) => Some(self.follow(instance, sent, &response)),
+        match parse_response(&response.body) {
+            Ok(response) => Some(self.apply_response(instance, sent, &response)),
             Err(error) => {
                 let why = error.to_string();
                 self.environment.unreadable_response(instance, why);
@@ -216,7 +216,7 @@
     }
 
     /// Applies a response; returns the time until the next heartbeat.
-    fn follow(
+    fn apply_response(
         &mut self,
         instance: InstanceIndex,
         sent: Moment,
@@ -256,7 +256,7 @@
 }
 
 /// Parses the body of a response; an empty body means no orders, no lease and no acknowledgement.
-fn read_response(body: &[u8]) -> Result<HeartbeatResponse, serde_json::Error> {
+fn parse_response(body: &[u8]) -> Result<HeartbeatResponse, serde_json::Error> {
     if body.is_empty() {
         Ok(HeartbeatResponse::default())
     } else {
--- a/crates/system-tests/tests/chaos_support/faults.rs
+++ b/crates/system-tests/tests/chaos_support/faults.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The next fault follows once this number of jobs has been accepted, or after [`TIME_BETWEEN`].
-const JOBS_BETWEEN: usize = 3;
+/// The next fault follows once this number of jobs has been accepted, or after [`MAX_TIME_BETWEEN_FAULTS`].
+const JOBS_BETWEEN_FAULTS: usize = 3;
 /// Longest time between two faults.
-const TIME_BETWEEN: Duration = Duration::from_millis(1_200);
+const MAX_TIME_BETWEEN_FAULTS: Duration = Duration::from_millis(1_200);
 /// Time that a draining worker needs until it can end.
-const DRAIN: Duration = Duration::from_millis(2_500);
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
 /// A fault to inject, or a change of the configuration.
 #[derive(Clone, Copy, Debug)]
@@ -84,7 +84,7 @@
     }
 
     /// Injects the next fault, and waits until some jobs have been accepted or a time has passed.
-    pub(super) fn next(&mut self, cluster: &mut Cluster) {
+    pub(super) fn inject_next(&mut self, cluster: &mut Cluster) {
         // Repairs the earlier faults before every second fault on average.
         if self.random.below(2) == 0 {
             self.repair(cluster);
@@ -93,11 +93,11 @@
         eprintln!("{:8.3} {fault:?}", cluster.environment.now().as_secs_f64());
         self.inject(cluster, fault);
         let before = accepted(cluster);
-        let enough = || (accepted(cluster) >= before + JOBS_BETWEEN).then_some(());
+        let enough = || (accepted(cluster) >= before + JOBS_BETWEEN_FAULTS).then_some(());
         let more = cluster
             .environment
             .signal()
-            .wait_until("jobs", TIME_BETWEEN, enough);
+            .wait_until("jobs", MAX_TIME_BETWEEN_FAULTS, enough);
         // A timeout is not an error: the next fault follows in either case.
         drop(more);
     }
@@ -139,7 +139,7 @@
             Fault::KillAgent => self.kill(cluster, sides[worker]),
             Fault::FreezeAgent => self.freeze(cluster, sides[worker]),
             Fault::CrashWorker => cluster.workers[worker].crash(),
-            Fault::DrainWorker => cluster.workers[worker].drain(DRAIN),
+            Fault::DrainWorker => cluster.workers[worker].drain(DRAIN_TIME),
             Fault::KillEdge => self.kill(cluster, edges[0]),
             Fault::TerminateEdge => self.terminate_edge(cluster, edges[1]),
             Fault::Configure => self.configure(cluster),
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Number of open jobs at which a client waits for the oldest one to end.
-const OPEN_MAX: usize = 10;
+const OPEN_JOBS_MAX: usize = 10;
 
 /// Submits jobs, and cancels some, until `stopping` is set.
 pub(super) fn submit_until(
@@ -38,7 +38,7 @@
         } else {
             open.push_back(submitted);
         }
-        if open.len() >= OPEN_MAX
+        if open.len() >= OPEN_JOBS_MAX
             && let Some(oldest) = open.pop_front()
         {
             client
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -7,7 +7,7 @@
 use faults::FaultInjector;
 use indigofold_system_tests::checks::Exemptions;
 use indigofold_system_tests::cluster::Cluster;
-use indigofold_system_tests::system::{Programs, Shape};
+use indigofold_system_tests::system::{MachineCounts, Programs};
 use seeded_random::SeededRandom;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,7 +21,7 @@
 pub(crate) fn run_seed(programs: Programs, seed: u64) {
     let mut cluster = Cluster::start(
         programs,
-        Shape {
+        MachineCounts {
             cores: 3,
             edges: 2,
             sides: 4,
@@ -42,7 +42,7 @@
         })
         .collect();
     let mut injector = FaultInjector::new(SeededRandom::new(seed));
-    (0..FAULT_COUNT).for_each(|_| injector.next(&mut cluster));
+    (0..FAULT_COUNT).for_each(|_| injector.inject_next(&mut cluster));
     injector.repair_all(&mut cluster);
     stopping.store(true, Ordering::Relaxed);
     clients
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -5,7 +5,7 @@
 use indigofold_system_tests::http::Request;
 use indigofold_system_tests::operator::{put_request, redirection};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -44,10 +44,10 @@
 fn the_first_configuration_is_in_force_at_every_edge() {
     let mut cluster = Cluster::start(
         programs!(),
-        Shape {
+        MachineCounts {
             edges: 3,
             sides: 1,
-            ..Shape::default()
+            ..MachineCounts::default()
         },
     );
     wait_in_force(&cluster, QUICK, 410);
@@ -61,7 +61,7 @@
 
 #[rstest]
 fn an_edge_without_configuration_responds_503() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::default());
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::default());
     let machines = [cluster.system.cores(), cluster.system.edges()].concat();
     cluster.start_machines(&machines);
     let edge = cluster.client.edges()[0];
@@ -75,7 +75,7 @@
 
 #[rstest]
 fn added_and_removed_routes_come_into_force() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let route = Queue::new(ADDED, PLANNING, 1).to_json();
     let change = json!({"version": 4, "upsert": {"routes": [route]}});
     cluster.patch(&change, 1);
@@ -99,7 +99,7 @@
 
 #[rstest]
 fn a_repeated_put_is_acknowledged_at_any_member() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let second = Configuration::standard(5).with(Queue::new(ADDED, VISION, 1));
     for _ in 0..2 {
         cluster.put(&second, 1);
@@ -130,7 +130,7 @@
 
 #[rstest]
 fn another_configuration_of_a_used_version_is_refused() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
     assert_eq!(
         cluster
@@ -151,7 +151,7 @@
 #[case::with_the_same_version(3, 3)]
 #[case::with_different_versions(3, 4)]
 fn one_of_two_racing_puts_is_accepted(#[case] one: u64, #[case] other: u64) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let versions = [
         Configuration::standard(one).with(Queue::new("/one/", PLANNING, 1)),
         Configuration::standard(other).with(Queue::new("/other/", PLANNING, 1)),
@@ -186,17 +186,17 @@
     cluster.check();
 }
 
-fn without_service(mut configuration: Value) -> Value {
+fn with_unknown_service(mut configuration: Value) -> Value {
     configuration["routes"][0]["backend"] = "nobody".into();
     configuration
 }
 
-fn with_shared_path_prefix(mut configuration: Value) -> Value {
+fn with_duplicate_path_prefix(mut configuration: Value) -> Value {
     configuration["routes"][0]["path_prefix"] = configuration["routes"][1]["path_prefix"].clone();
     configuration
 }
 
-fn without_timeout(mut configuration: Value) -> Value {
+fn with_zero_timeout(mut configuration: Value) -> Value {
     configuration["routes"][0]["timeout_ms"] = 0.into();
     configuration
 }
@@ -208,16 +208,16 @@
 }
 
 #[rstest]
-#[case::unknown_service(without_service)]
-#[case::shared_host_and_path_prefix(with_shared_path_prefix)]
-#[case::no_timeout(without_timeout)]
+#[case::unknown_service(with_unknown_service)]
+#[case::shared_host_and_path_prefix(with_duplicate_path_prefix)]
+#[case::no_timeout(with_zero_timeout)]
 #[case::version_not_higher(not_newer)]
-fn an_invalid_configuration_is_refused(#[case] spoil: fn(Value) -> Value) {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
-    let spoilt = spoil(Configuration::standard(7).to_json());
+fn an_invalid_configuration_is_refused(#[case] invalidate: fn(Value) -> Value) {
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
+    let invalid = invalidate(Configuration::standard(7).to_json());
     let response = cluster
         .operator
-        .request(&put_request(&spoilt, 1))
+        .request(&put_request(&invalid, 1))
         .expect("the request should get a response");
     assert_eq!(response.status, 400);
     let truncated = Request::new("PUT", "/config")
@@ -257,7 +257,7 @@
 
 #[rstest]
 fn members_that_are_not_head_redirect_to_it() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let head = cluster.system.control_plane(cluster.head());
     let next = put_request(&Configuration::standard(2).to_json(), 1);
     for member in cluster
@@ -275,7 +275,7 @@
 
 #[rstest]
 fn members_without_a_head_respond_503_at_once() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let cores = cluster.system.cores();
     let (killed, remaining) = cores.split_at(2);
     cluster.kill_machines(killed);
--- a/crates/system-tests/tests/discovery.rs
+++ b/crates/system-tests/tests/discovery.rs
@@ -5,7 +5,7 @@
 use indigofold_system_tests::job::Job;
 use indigofold_system_tests::programs;
 use indigofold_system_tests::settings::MachineClass::{self, Core, Edge, Side};
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 
 /// Checks that a job is accepted and completes, and finishes the test.
@@ -20,7 +20,7 @@
 #[case::core_last([Side, Edge, Core])]
 #[case::core_in_the_middle([Edge, Core, Side])]
 fn any_start_order_leads_to_a_working_cluster(#[case] order: [MachineClass; 3]) {
-    let mut cluster = Cluster::prepare(programs!(), Shape::default());
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::default());
     for class in order {
         cluster.start_machines(&cluster.system.of_class(class));
         if class == Side {
@@ -34,7 +34,7 @@
 
 #[rstest]
 fn machines_may_start_in_reverse_order() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::default());
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::default());
     let system = &cluster.system;
     let mut machines = [system.edges(), system.sides(), system.cores()].concat();
     machines.reverse();
@@ -44,13 +44,13 @@
 
 #[rstest]
 fn a_core_of_five_members_needs_three_seeds() {
-    let cluster = Cluster::start(programs!(), Shape::with_cores(5));
+    let cluster = Cluster::start(programs!(), MachineCounts::with_cores(5));
     expect_working(cluster);
 }
 
 #[rstest]
 fn an_edge_is_not_ready_before_it_has_found_the_core() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::default());
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::default());
     let edge = cluster.system.edges()[0];
     cluster.start_machine(edge);
     let listening = cluster.wait_for("a listening edge", START_TIMEOUT, || {
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -7,7 +7,7 @@
 use indigofold_system_tests::job::Job;
 use indigofold_system_tests::programs;
 use indigofold_system_tests::random;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -17,16 +17,16 @@
 /// Timeout of each wait in these tests.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-fn small() -> Shape {
-    Shape {
+fn small_counts() -> MachineCounts {
+    MachineCounts {
         sides: 1,
         edges: 1,
-        ..Shape::default()
+        ..MachineCounts::default()
     }
 }
 
 /// Applies limits that are low enough for a test to exceed.
-fn tighten(cluster: &Cluster) {
+fn apply_low_limits(cluster: &Cluster) {
     let limits = json!({
         "max_header_bytes": 2_048, "max_body_bytes": 8_192, "header_timeout_ms": 300, "idle_timeout_ms": 400
     });
@@ -49,7 +49,7 @@
 
 #[rstest]
 fn limits_of_a_configuration_come_into_force() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let job = json!({"spec": "x", "stages": [{"count": 1, "cpu": 1}], "more": "y".repeat(9_000)});
     // Within the first limits, so the edge reads the body and rejects only the invalid id.
     let large = Request::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
@@ -70,7 +70,7 @@
             .status,
         200
     );
-    tighten(&cluster);
+    apply_low_limits(&cluster);
     wait_for_response(&cluster, &large, &[413]);
     wait_for_response(&cluster, &long, &[431]);
     assert_eq!(
@@ -100,8 +100,8 @@
 #[case::idle(b"")]
 #[case::in_the_head(b"GET /quick/ HTTP/1.1\r\nHost: que")]
 fn stalled_connections_are_closed(#[case] sent: &[u8]) {
-    let mut cluster = Cluster::start(programs!(), small());
-    tighten(&cluster);
+    let mut cluster = Cluster::start(programs!(), small_counts());
+    apply_low_limits(&cluster);
     cluster.wait_for("a closed connection", TIMEOUT, || {
         let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
         stream.write_all(sent).ok()?;
@@ -112,7 +112,7 @@
 
 #[rstest]
 fn a_connection_carries_several_requests() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let mut connection =
         Connection::open(edge(&cluster), TIMEOUT).expect("the edge should accept a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
@@ -143,7 +143,7 @@
 #[case::with_a_port(format!("{HOST}:8080"))]
 #[case::in_capitals(HOST.to_uppercase())]
 fn a_host_matches_in_any_form(#[case] host: String) {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let request = Request::new("GET", QUICK).header("Host", host);
     assert_eq!(
         request_once(edge(&cluster), &request, TIMEOUT)
@@ -156,7 +156,7 @@
 
 #[rstest]
 fn a_chunked_body_is_read() {
-    let cluster = Cluster::start(programs!(), small());
+    let cluster = Cluster::start(programs!(), small_counts());
     let submitted = SubmittedJob::new(&cluster.queue(BATCH));
     let job = Job::single(50);
     cluster
@@ -194,7 +194,7 @@
 /// While the core is frozen, a request gets its response by its deadline, with status 503 or 504.
 #[rstest]
 fn a_request_gets_its_response_by_its_deadline() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     cluster.wait_ready();
     cluster.freeze_machines(&cluster.system.cores());
     let started = Instant::now();
@@ -222,7 +222,7 @@
 /// Once the edge knows that the head has ended, it refuses requests at once with a `Retry-After` header.
 #[rstest]
 fn without_a_core_requests_are_refused_at_once() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let cores = cluster.system.cores();
     cluster.kill_machines(&cores);
     cluster.wait_for("an immediate refusal", JOB_TIMEOUT, || {
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -5,11 +5,11 @@
 use indigofold_system_tests::configuration::{BATCH, Configuration, PLANNING, QUICK, Queue};
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 use serde_json::json;
 
-fn steps() -> Job {
+fn two_step_job() -> Job {
     Job::new(vec![
         Step::new(4, 1_200).checkpoints(),
         Step::new(2, 600).after(&[0]),
@@ -18,8 +18,10 @@
 
 #[rstest]
 fn jobs_complete_after_the_head_is_killed() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
-    let submitted: Vec<_> = (0..3).map(|_| cluster.submit(QUICK, &steps())).collect();
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
+    let submitted: Vec<_> = (0..3)
+        .map(|_| cluster.submit(QUICK, &two_step_job()))
+        .collect();
     cluster.wait_started(&submitted[2]);
     let head = cluster.head();
     cluster.system.kill(head);
@@ -33,7 +35,7 @@
 #[case(4)]
 #[case(9)]
 fn accepted_jobs_survive_a_head_killed_while_it_takes_jobs(#[case] accepted: usize) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let head = cluster.head();
     let queue = cluster.queue(QUICK);
     let clients = (0..3).map(|_| (cluster.client.clone(), queue.clone()));
@@ -64,7 +66,7 @@
 
 #[rstest]
 fn a_gang_survives_the_loss_of_the_head() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     cluster.exempt(Exemptions {
         gangs: true,
         ..Exemptions::default()
@@ -82,21 +84,21 @@
 
 #[rstest]
 fn a_frozen_head_is_replaced_and_starts_nothing_when_thawed() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
-    let first = cluster.submit(QUICK, &steps());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
+    let first = cluster.submit(QUICK, &two_step_job());
     cluster.wait_started(&first);
     let head = cluster.head();
     cluster
         .system
         .freeze(head)
         .expect("the process should accept SIGSTOP");
-    let second = cluster.submit(QUICK, &steps());
+    let second = cluster.submit(QUICK, &two_step_job());
     cluster.wait_started(&second);
     cluster
         .system
         .thaw(head)
         .expect("the process should accept SIGCONT");
-    let third = cluster.submit(QUICK, &steps());
+    let third = cluster.submit(QUICK, &two_step_job());
     cluster.expect_all_completed(&[first, second, third]);
     cluster.finish();
 }
@@ -105,13 +107,13 @@
 #[case::while_tasks_run(true)]
 #[case::while_idle(false)]
 fn a_killed_core_recovers_all_that_it_acknowledged(#[case] at_work: bool) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let second = Configuration::standard(6).with(Queue::new("/later/", PLANNING, 1));
     cluster.put(&second, 1);
     cluster.configuration = second.clone();
     let ended = cluster.submit("/later/", &Job::single(100));
     cluster.expect_completed(&ended);
-    let open = at_work.then(|| cluster.submit(BATCH, &steps()));
+    let open = at_work.then(|| cluster.submit(BATCH, &two_step_job()));
     if let Some(open) = &open {
         cluster.wait_started(open);
     }
@@ -126,8 +128,8 @@
 
 #[rstest]
 fn a_core_killed_right_after_an_acceptance_recovers_the_job() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
-    let submitted = cluster.submit(QUICK, &steps());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
+    let submitted = cluster.submit(QUICK, &two_step_job());
     cluster.restart_core();
     cluster.expect_completed(&submitted);
     cluster.finish();
@@ -137,7 +139,7 @@
 /// can be lost.
 #[rstest]
 fn a_member_without_its_disk_recovers_before_another_is_lost() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let waiting = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).requires("only-9")]));
     let wiped = cluster.head();
     cluster.kill_and_wipe(wiped);
@@ -145,13 +147,13 @@
     let change =
         json!({"version": 3, "upsert": {"routes": [Queue::new("/third/", PLANNING, 1).to_json()]}});
     cluster.patch(&change, 1);
-    cluster.work_for(CATCH_UP);
+    cluster.submit_jobs_for(CATCH_UP);
     let other = cluster.other_cores(wiped)[0];
     cluster.system.kill(other);
     let read = cluster.read_configuration();
     assert_eq!(read["version"], 3);
     assert!(cluster.state(&waiting).is_some());
-    let job = cluster.submit(QUICK, &steps());
+    let job = cluster.submit(QUICK, &two_step_job());
     cluster.expect_completed(&job);
     cluster
         .client
@@ -163,9 +165,9 @@
 /// An accepted job survives the loss of the head's disk right after its acceptance.
 #[rstest]
 fn a_job_accepted_right_before_the_head_loses_its_disk_is_kept() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let head = cluster.head();
-    let submitted = cluster.submit(QUICK, &steps());
+    let submitted = cluster.submit(QUICK, &two_step_job());
     cluster.kill_and_wipe(head);
     cluster.start_machine(head);
     cluster.expect_completed(&submitted);
--- a/crates/system-tests/tests/hardening.rs
+++ b/crates/system-tests/tests/hardening.rs
@@ -8,7 +8,7 @@
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::operator::{Operator, put_request, read_request};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::{MachineId, Shape};
+use indigofold_system_tests::system::{MachineCounts, MachineId};
 use rstest::rstest;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// Number of requests to read the configuration that are sent to a head while it is frozen.
 const READERS: usize = 20;
 /// Upper bound of the number of heads that are killed until a certain member becomes head.
-const HEADS_MAX: usize = 10;
+const HEAD_KILLS_MAX: usize = 10;
 
 /// A configuration with a queue named after `label`, to distinguish it from others of the same version.
 fn labelled(version: u64, label: &str) -> Configuration {
@@ -41,9 +41,9 @@
 /// the new configuration or an error, and must not accept a put that builds on the old one.
 #[rstest]
 fn a_head_that_was_frozen_returns_no_stale_configuration() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_cores(5));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_cores(5));
     // Gives all five members the time to count for a quorum.
-    cluster.work_for(CATCH_UP);
+    cluster.submit_jobs_for(CATCH_UP);
     let head = cluster.head();
     let other = cluster.other_cores(head)[0];
     cluster.freeze_machines(&[head, other]);
@@ -59,7 +59,7 @@
     let late = put_request(&labelled(2, "late").to_json(), 1);
     let late_put = request_in_thread(&cluster.operator, address, late.clone());
     cluster.thaw_machines(&[head, other]);
-    let newest =
+    let is_current =
         |response: &Response| response.status != 200 || response.json() == second.to_json();
     let responses = readers.into_iter().filter_map(|thread| {
         thread
@@ -69,7 +69,7 @@
     });
     responses.for_each(|response| {
         assert!(
-            newest(&response),
+            is_current(&response),
             "stale configuration: {}",
             response.json()
         );
@@ -98,7 +98,7 @@
 /// and a retry of each gets the same status as before.
 #[rstest]
 fn one_of_two_racing_puts_is_accepted_while_heads_are_killed(#[values(1, 2)] after: usize) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     for iteration in 1..=4 {
         let (base, version) = (iteration, iteration + 1);
         let requests =
@@ -142,7 +142,7 @@
         );
         cluster.start_machine(head);
         cluster.configuration = labelled(version, winner);
-        cluster.work_for(Duration::from_millis(500));
+        cluster.submit_jobs_for(Duration::from_millis(500));
     }
     cluster.finish();
 }
@@ -153,7 +153,7 @@
 #[case::replacement_started_first(true)]
 #[case::replaced_member_killed_first(false)]
 fn a_disk_lost_right_after_a_replacement_loses_no_state(#[case] new_first: bool) {
-    let mut cluster = Cluster::prepare(programs!(), Shape::with_cores(4));
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::with_cores(4));
     let cores = cluster.system.cores();
     let machines = [
         cores[..3].to_vec(),
@@ -167,13 +167,13 @@
     cluster.system.join_existing(new);
     if new_first {
         cluster.start_machine(new);
-        cluster.work_for(CATCH_UP);
+        cluster.submit_jobs_for(CATCH_UP);
     }
     cluster.kill_and_wipe(old);
     if !new_first {
         cluster.start_machine(new);
     }
-    cluster.work_for(CATCH_UP);
+    cluster.submit_jobs_for(CATCH_UP);
     let second = labelled(2, "second");
     cluster.put(&second, 1);
     let submitted = cluster.submit(QUICK, &Job::single(200));
@@ -198,10 +198,10 @@
 /// A member is down during hundreds of changes, restarts, and later becomes head with the newest configuration.
 #[rstest]
 fn a_member_that_missed_hundreds_of_changes_leads_with_all_of_them() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let head = cluster.head();
-    let away = cluster.other_cores(head)[0];
-    cluster.system.kill(away);
+    let stopped = cluster.other_cores(head)[0];
+    cluster.system.kill(stopped);
     for version in 2..=CHANGES {
         let mut queue = Queue::new("/changing/", PLANNING, 1).to_json();
         queue["timeout_ms"] = json!(1_000 + version);
@@ -209,12 +209,12 @@
         cluster.patch(&change, version - 1);
     }
     let newest = cluster.read_configuration();
-    cluster.start_machine(away);
-    for _ in 0..HEADS_MAX {
-        cluster.work_for(CATCH_UP);
+    cluster.start_machine(stopped);
+    for _ in 0..HEAD_KILLS_MAX {
+        cluster.submit_jobs_for(CATCH_UP);
         let head = cluster.head();
         assert_eq!(cluster.read_configuration(), newest);
-        if head == away {
+        if head == stopped {
             let first = json!({"version": 2, "upsert": {"routes": []}});
             assert_eq!(
                 cluster
@@ -231,18 +231,18 @@
         cluster.head();
         cluster.start_machine(head);
     }
-    panic!("the restarted member did not become head in {HEADS_MAX} changes of the head");
+    panic!("the restarted member did not become head in {HEAD_KILLS_MAX} changes of the head");
 }
 
 /// A member's database is corrupt, and its settings still have `bootstrap` set. It must not vote like a member of a new
 /// cluster: together with a member that was down, it would form a quorum without the newest writes.
 #[rstest]
 fn a_member_with_a_quarantined_database_does_not_bootstrap() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let head = cluster.head();
     let others: Vec<_> = cluster.other_cores(head);
-    let (away, third) = (others[0], others[1]);
-    cluster.system.kill(away);
+    let (stopped, third) = (others[0], others[1]);
+    cluster.system.kill(stopped);
     let second = labelled(2, "second");
     cluster.put(&second, 1);
     cluster.kill_machines(&[head, third]);
@@ -251,8 +251,8 @@
         .corrupt_database(head)
         .expect("the database should be overwritten");
     cluster.system.set_bootstrap(head);
-    cluster.start_machines(&[head, away]);
-    let members = [head, away].map(|core| cluster.system.control_plane(core));
+    cluster.start_machines(&[head, stopped]);
+    let members = [head, stopped].map(|core| cluster.system.control_plane(core));
     let until = cluster.environment.now() + CATCH_UP;
     while cluster.environment.now() < until {
         let responses = members
@@ -270,7 +270,7 @@
     cluster.start_machine(third);
     assert_eq!(cluster.read_configuration(), second.to_json());
     cluster.configuration = second;
-    cluster.work_for(CATCH_UP);
+    cluster.submit_jobs_for(CATCH_UP);
     cluster.finish();
 }
 
@@ -278,7 +278,7 @@
 /// same id do not run it again.
 #[rstest]
 fn a_connection_lost_in_any_phase_of_a_request_causes_no_second_run() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let (queue, edge) = (cluster.queue(QUICK), cluster.client.edges()[0]);
     let job = Job::new(vec![Step::new(2, 100)]);
     let complete = usize::MAX;
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -8,7 +8,7 @@
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
 use indigofold_system_tests::random;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -66,7 +66,7 @@
 #[case::a_required_label(bound_to_one_worker())]
 #[case::more_tasks_than_capacity(more_tasks_than_capacity())]
 fn a_job_is_completed(#[case] job: Job) {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &job);
     cluster.expect_completed(&submitted);
     let done = cluster.count_ends(&submitted, EndReason::Done);
@@ -77,7 +77,7 @@
 
 #[rstest]
 fn a_job_fails_once_its_task_uses_up_its_retries() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).failures(u32::MAX)]));
     assert_eq!(
         cluster
@@ -93,7 +93,7 @@
 
 #[rstest]
 fn tasks_of_two_services_go_to_their_own_workers() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::with_sides(2));
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::with_sides(2));
     let system = &cluster.system;
     let (sides, machines) = (
         system.sides(),
@@ -114,7 +114,7 @@
 
 #[rstest]
 fn a_long_running_job_runs_until_it_is_cancelled() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     // The first runs fail more often than the queue allows; a long-running step is retried without limit.
     let submitted = cluster.submit(
         QUICK,
@@ -147,9 +147,9 @@
 
 #[rstest]
 fn a_waiting_job_can_be_cancelled_and_never_runs() {
-    let cluster = Cluster::start(programs!(), Shape::default());
-    let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
-    let submitted = cluster.submit(QUICK, &nowhere);
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
+    let unschedulable = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
+    let submitted = cluster.submit(QUICK, &unschedulable);
     assert_eq!(cluster.state(&submitted), Some(JobState::Queued));
     cluster
         .client
@@ -168,9 +168,9 @@
 fn one_id_submitted_at_all_edges_at_once_is_one_job() {
     let cluster = Cluster::start(
         programs!(),
-        Shape {
+        MachineCounts {
             edges: 3,
-            ..Shape::default()
+            ..MachineCounts::default()
         },
     );
     let submitted = SubmittedJob::new(&cluster.queue(QUICK));
@@ -197,7 +197,7 @@
 
 #[rstest]
 fn many_jobs_from_many_clients_all_end() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     std::thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(|| {
@@ -221,7 +221,7 @@
 
 #[rstest]
 fn invalid_requests_get_distinct_statuses() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let unknown = random::job_id();
     let submit = |path: String, body: &str| Request::new("POST", path).json(body);
     let job = r#"{"spec":"x","stages":[{"count":1,"cpu":100}]}"#;
@@ -265,9 +265,11 @@
 
 #[rstest]
 fn pending_jobs_are_counted() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
-    let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
-    let submitted: Vec<SubmittedJob> = (0..3).map(|_| cluster.submit(BATCH, &nowhere)).collect();
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
+    let unschedulable = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
+    let submitted: Vec<SubmittedJob> = (0..3)
+        .map(|_| cluster.submit(BATCH, &unschedulable))
+        .collect();
     let counts: BTreeSet<Option<u64>> = cluster
         .client
         .edges()
--- a/crates/system-tests/tests/oracle_support/mod.rs
+++ b/crates/system-tests/tests/oracle_support/mod.rs
@@ -50,7 +50,7 @@
 }
 
 /// A step of `count` tasks that run longer than the test.
-pub(crate) fn long(count: u32) -> Step {
+pub(crate) fn long_step(count: u32) -> Step {
     Step::new(count, 60_000)
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Gives a worker this start order.
-    pub(crate) fn start_by(&self, worker: usize, order: StartOrder) {
+    pub(crate) fn send_start_order(&self, worker: usize, order: StartOrder) {
         let response = HeartbeatResponse {
             start: vec![order],
             ..HeartbeatResponse::default()
@@ -115,7 +115,7 @@
     /// Gives a worker an order to start a run of the fixture's job, with the job's text and no checkpoint.
     pub(crate) fn start(&self, worker: usize, task: &str, attempt: u32) {
         let order = start_order(JOB, task, attempt, &self.spec(), "");
-        self.start_by(worker, order);
+        self.send_start_order(worker, order);
     }
 
     /// Gives a worker an order to stop a run of the fixture's job.
@@ -169,7 +169,7 @@
     }
 
     /// The rules that were broken, in the order of the checks.
-    pub(crate) fn broken(&self) -> Vec<Rule> {
+    pub(crate) fn broken_rules(&self) -> Vec<Rule> {
         let (bounds, now) = (self.environment.bounds(), self.environment.now());
         let found = self
             .environment
@@ -178,7 +178,7 @@
     }
 
     /// Waits for `time`, while the environment advances.
-    pub(crate) fn pass(&self, time: Duration) {
+    pub(crate) fn sleep(&self, time: Duration) {
         let until = self.environment.now() + time;
         let passed = self.environment.wait_until("time", TIMEOUT, |_| {
             (self.environment.now() > until).then_some(())
--- a/crates/system-tests/tests/recovery.rs
+++ b/crates/system-tests/tests/recovery.rs
@@ -8,7 +8,7 @@
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::operator::{Operator, put_request};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
 /// The last version that an operator applies.
 const VERSIONS: u64 = 24;
 
-fn steps() -> Job {
+fn two_step_job() -> Job {
     Job::new(vec![
         Step::new(3, 600).checkpoints(),
         Step::new(2, 300).after(&[0]),
@@ -35,7 +35,7 @@
 #[case::of_the_head(true)]
 #[case::of_another_member(false)]
 fn a_core_that_lost_power_and_one_disk_keeps_all_state(#[case] wipes_head: bool) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let head = cluster.head();
     let cores = cluster.system.cores();
     let wiped = cores
@@ -43,7 +43,7 @@
         .copied()
         .find(|core| (*core == head) == wipes_head)
         .expect("the core should have such a member");
-    let submitted = cluster.submit(QUICK, &steps());
+    let submitted = cluster.submit(QUICK, &two_step_job());
     cluster.patch(&addition(2), 1);
     cluster.kill_machines(&cores);
     cluster
@@ -59,7 +59,7 @@
 /// All members are killed after each acknowledgement.
 #[rstest]
 fn every_acknowledged_configuration_survives_a_core_restart() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     for version in 2..=4 {
         cluster.patch(&addition(version), version - 1);
         cluster.restart_core();
@@ -86,7 +86,7 @@
 
 #[rstest]
 fn each_version_is_accepted_once_while_heads_are_killed() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let (operator, acknowledged) = (cluster.operator.clone(), AtomicU64::new(1));
     std::thread::scope(|scope| {
         scope.spawn(|| put_versions(&operator, &acknowledged));
@@ -115,8 +115,8 @@
 
 #[rstest]
 fn without_a_majority_nothing_is_accepted_and_nothing_is_lost() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
-    let before = cluster.submit(QUICK, &steps());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
+    let before = cluster.submit(QUICK, &two_step_job());
     let cores = cluster.system.cores();
     let (killed, _) = cores.split_at(2);
     cluster.kill_machines(killed);
@@ -130,7 +130,7 @@
     });
     cluster.start_machines(killed);
     cluster.expect_completed(&before);
-    let after = cluster.submit(QUICK, &steps());
+    let after = cluster.submit(QUICK, &two_step_job());
     cluster.expect_completed(&after);
     cluster.finish();
 }
@@ -139,7 +139,7 @@
 /// disk has.
 #[rstest]
 fn a_write_only_on_the_head_s_disk_is_not_acknowledged() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let head = cluster.head();
     let address = cluster.system.control_plane(head);
     let others: Vec<_> = cluster.other_cores(head);
@@ -163,14 +163,14 @@
         version == 1 || version == 2,
         "version {version}, expected 1 or 2"
     );
-    let job = cluster.submit(QUICK, &steps());
+    let job = cluster.submit(QUICK, &two_step_job());
     cluster.expect_completed(&job);
     cluster.finish();
 }
 
 #[rstest]
 fn a_cancelled_job_stays_cancelled() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(BATCH, &Job::new(vec![Step::new(3, 20_000)]));
     cluster.wait_started(&submitted);
     cluster
@@ -192,7 +192,7 @@
 /// While the core is down, node agents extend the run leases; the ends of runs are reported once the core is back.
 #[rstest]
 fn tasks_survive_an_outage_of_the_core() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(4, 3_500)]));
     cluster.wait_starts(&submitted, 4);
     let cores = cluster.system.cores();
@@ -210,7 +210,7 @@
 
 #[rstest]
 fn a_configuration_of_many_routes_is_accepted_and_kept() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let queues = (0..3_000).map(|number| Queue::new(&format!("/many/{number}/"), PLANNING, 1));
     let many = queues.fold(Configuration::standard(2), Configuration::with);
     cluster.put(&many, 1);
--- a/crates/system-tests/tests/scheduling.rs
+++ b/crates/system-tests/tests/scheduling.rs
@@ -6,14 +6,14 @@
 use indigofold_system_tests::http::Request;
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
 use std::time::Duration;
 
 #[rstest]
 fn a_stalled_task_is_retried() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 300).first_hangs()]));
     cluster.expect_completed(&submitted);
     assert_eq!(cluster.count_ends(&submitted, EndReason::Stopped), 2);
@@ -23,7 +23,7 @@
 /// Long tasks on full workers are preempted for a job of higher priority, and complete later.
 #[rstest]
 fn an_urgent_job_preempts_long_ones() {
-    let cluster = Cluster::start(programs!(), Shape::with_sides(2));
+    let cluster = Cluster::start(programs!(), MachineCounts::with_sides(2));
     let long = cluster.submit(
         BATCH,
         &Job::new(vec![Step::new(8, 8_000).cpu(1_000).checkpoints()]),
@@ -41,7 +41,7 @@
 
 #[rstest]
 fn a_retried_task_resumes_from_its_checkpoint() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 4_000).checkpoints()]));
     let worker = cluster.wait_started(&submitted);
     let started = cluster.environment.now();
@@ -65,7 +65,7 @@
 /// While the node agent is frozen, more runs end than one heartbeat can report.
 #[rstest]
 fn hundreds_of_ends_at_once_are_all_acknowledged() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let mut step = Step::new(700, 1_500).cpu(5);
     step.mem_mb = 1;
     let submitted = cluster.submit(QUICK, &Job::new(vec![step, Step::new(1, 50).after(&[0])]));
@@ -88,7 +88,7 @@
 
 #[rstest]
 fn speculative_runs_break_no_rule() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let mut step = Step::new(6, 400).first_hangs();
     step.speculative = true;
     let submitted = cluster.submit(QUICK, &Job::new(vec![step]));
@@ -99,9 +99,9 @@
 /// A job that needs more than any worker's capacity does not keep other jobs from running.
 #[rstest]
 fn a_job_that_fits_no_worker_blocks_no_other() {
-    let cluster = Cluster::start(programs!(), Shape::default());
-    let nowhere = Job::new(vec![Step::new(2, 100).cpu(64_000).gang()]);
-    let waiting = cluster.submit(QUICK, &nowhere);
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
+    let unschedulable = Job::new(vec![Step::new(2, 100).cpu(64_000).gang()]);
+    let waiting = cluster.submit(QUICK, &unschedulable);
     let others: Vec<_> = (0..5)
         .map(|_| cluster.submit(BATCH, &Job::new(vec![Step::new(4, 100)])))
         .collect();
@@ -121,7 +121,7 @@
 /// Repetitions that overlap run concurrently, each from its due time.
 #[rstest]
 fn overlapping_repetitions_each_start_when_due() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let job = Job::new(vec![Step::new(1, 1_200)]);
     let job = job.repeated(4, Duration::from_millis(600), Duration::from_millis(300));
     let submitted = cluster.submit(QUICK, &job);
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -6,7 +6,7 @@
 use indigofold_system_tests::http::{Connection, HttpError, Request, Response};
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wait::Signal;
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 /// Timeout of one request; longer than the platform's grace time after SIGTERM.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Number of responses received before SIGTERM is sent.
-const REQUESTS_BEFORE: usize = 60;
+const RESPONSES_BEFORE_SIGTERM: usize = 60;
 
 /// Whether a request was read and got no complete response: its connection was lost after the response had started, or
 /// later than an unread request's connection can be lost (`slack`).
@@ -52,7 +52,7 @@
 
 #[rstest]
 fn sigterm_of_an_edge_under_load_loses_no_request_that_was_read() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (edge, slack) = (
         cluster.system.edges()[0],
         cluster.environment.bounds().loss_slack,
@@ -71,7 +71,7 @@
         let caller =
             || scope.spawn(|| request_until_closed(address, &request, slack, count_response));
         let callers: Vec<_> = (0..CALLERS).map(|_| caller()).collect();
-        let enough = || (count.load(Ordering::Relaxed) >= REQUESTS_BEFORE).then_some(());
+        let enough = || (count.load(Ordering::Relaxed) >= RESPONSES_BEFORE_SIGTERM).then_some(());
         signal
             .wait_until("responses", JOB_TIMEOUT, enough)
             .expect("enough responses should arrive in time");
@@ -104,7 +104,7 @@
 /// Requests wait at an edge for a frozen head when the edge receives SIGTERM. The edge completes them before it exits.
 #[rstest]
 fn sigterm_of_an_edge_with_pending_requests_completes_them() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (edge, slack) = (
         cluster.system.edges()[0],
         cluster.environment.bounds().loss_slack,
@@ -115,7 +115,7 @@
         .freeze(head)
         .expect("the process should accept SIGSTOP");
     let (client, queue) = (
-        cluster.client.at(&[cluster.system.frontend(edge)]),
+        cluster.client.with_edges(&[cluster.system.frontend(edge)]),
         cluster.queue(QUICK),
     );
     let submitting: Vec<_> = (0..CALLERS)
@@ -160,7 +160,7 @@
 
 #[rstest]
 fn an_idle_connection_does_not_keep_an_edge_from_ending() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let edge = cluster.system.edges()[0];
     let mut idle = Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT)
         .expect("the edge should accept a connection");
@@ -177,7 +177,7 @@
 
 #[rstest]
 fn jobs_and_configurations_go_on_after_sigterm_of_the_head() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let job = Job::new(vec![Step::new(4, 1_500), Step::new(2, 500).after(&[0])]);
     let submitted = cluster.submit(QUICK, &job);
     cluster.wait_started(&submitted);
@@ -196,12 +196,12 @@
 /// All machines are stopped and started in turn while jobs are submitted; no task starts twice and no job is lost.
 #[rstest]
 fn jobs_complete_during_a_rolling_restart() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (client, queue) = (cluster.client.clone(), cluster.queue(QUICK));
     let stopping = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let until = stopping.clone();
+    let stop_requested = stopping.clone();
     let submitting = std::thread::spawn(move || {
-        while !until.load(Ordering::Relaxed) {
+        while !stop_requested.load(Ordering::Relaxed) {
             let submitted = client
                 .submit(&queue, &Job::new(vec![Step::new(2, 150)]))
                 .expect("the job should be accepted");
--- a/crates/system-tests/tests/workers.rs
+++ b/crates/system-tests/tests/workers.rs
@@ -7,14 +7,14 @@
 use indigofold_system_tests::environment::Event;
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
 use std::time::Duration;
 
 #[rstest]
 fn a_task_survives_a_restart_of_its_node_agent() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::single(1_500));
     let side = cluster.system.sides()[cluster.wait_started(&submitted)];
     cluster.system.kill(side);
@@ -26,7 +26,7 @@
 
 #[rstest]
 fn a_task_of_a_lost_node_agent_is_retried_elsewhere() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::single(4_000));
     let side = cluster.system.sides()[cluster.wait_started(&submitted)];
     cluster.system.kill(side);
@@ -36,7 +36,7 @@
 
 #[rstest]
 fn a_job_completes_after_its_worker_restarts_with_a_new_id() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(3, 1_000).checkpoints()]));
     let worker = cluster.wait_started(&submitted);
     cluster.workers[worker].restart();
@@ -46,7 +46,7 @@
 
 #[rstest]
 fn a_gang_is_retried_after_a_member_s_worker_has_crashed() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(
         QUICK,
         &Job::new(vec![
@@ -66,7 +66,7 @@
 
 #[rstest]
 fn tasks_of_a_crashed_worker_are_retried_on_others() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(4, 800)]));
     let worker = cluster.wait_started(&submitted);
     cluster.workers[worker].crash();
@@ -76,7 +76,7 @@
 
 #[rstest]
 fn a_draining_worker_gets_no_new_tasks_and_its_job_completes() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let long = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 6_000).checkpoints()]));
     let worker = &cluster.workers[cluster.wait_started(&long)];
     let instance = worker
@@ -118,7 +118,7 @@
 
 #[rstest]
 fn an_idle_worker_deregisters_and_its_next_instance_gets_tasks() {
-    let cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let first = cluster.submit(QUICK, &Job::single(100));
     cluster.expect_completed(&first);
     let worker = &cluster.workers[0];
@@ -137,7 +137,7 @@
 
 #[rstest]
 fn tasks_behind_a_frozen_node_agent_do_not_run_twice() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(3, 2_000)]));
     let side = cluster.system.sides()[cluster.wait_started(&submitted)];
     cluster
@@ -160,7 +160,7 @@
 
 #[rstest]
 fn an_edge_killed_under_load_loses_no_accepted_job() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let edge = cluster.system.edges()[0];
     let (client, queue) = (cluster.client.clone(), cluster.queue(QUICK));
     let submitting = std::thread::spawn(move || {
