--- a/crates/system-tests/src/client.rs
+++ b/crates/system-tests/src/client.rs
@@ -21,7 +21,7 @@
 /// Error of a client's request, after its retries.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// The request got no clear response within [`REQUEST_TIMEOUT`].
+    /// The request got no clear response within `REQUEST_TIMEOUT`.
     #[snafu(display("{what}: no clear response after {attempts} attempts; last result: {last}"))]
     Unanswered {
         /// Description of the request.
--- a/crates/system-tests/src/environment/record.rs
+++ b/crates/system-tests/src/environment/record.rs
@@ -151,7 +151,7 @@
     pub accepted: Option<Moment>,
     /// Number of requests to submit the job so far.
     pub submissions: u32,
-    /// Number of those requests that were refused with one of [`REFUSALS`].
+    /// Number of those requests that were refused with a status of `REFUSALS`.
     pub refusals: u32,
     /// When the job's cancellation was first requested.
     pub cancel_sent: Option<Moment>,
--- a/crates/system-tests/src/operator.rs
+++ b/crates/system-tests/src/operator.rs
@@ -26,7 +26,7 @@
 /// Error of an operator's request, after its retries.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// The request got no clear response within [`REQUEST_TIMEOUT`].
+    /// The request got no clear response within `REQUEST_TIMEOUT`.
     #[snafu(display(
         "no clear response after {attempts} attempts in {REQUEST_TIMEOUT:?}; last result: {last}"
     ))]
--- a/crates/system-tests/src/process.rs
+++ b/crates/system-tests/src/process.rs
@@ -94,7 +94,7 @@
     }
 
     /// Starts the program with the settings file. As on the platform, no environment variables are passed on except
-    /// those of [`INHERITED`].
+    /// those of `INHERITED`.
     ///
     /// # Errors
     ///
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -191,7 +191,8 @@
     cluster.finish();
 }
 
-/// While the core is frozen, a request gets its response by its deadline, with status 503 or 504.
+/// While the core is frozen, a request gets its response by its deadline. The status is 503 if the request was
+/// not sent to the core or only reads, and 504 if it may have been carried out.
 #[rstest]
 fn a_request_gets_its_response_by_its_deadline() {
     let mut cluster = Cluster::start(programs!(), small_counts());
