--- a/crates/system-tests/src/cluster/steps.rs
+++ b/crates/system-tests/src/cluster/steps.rs
@@ -1,4 +1,4 @@
-//! Steps that many tests share: configurations, jobs, and waits for what happens.
+//! Steps that many tests share: applying configurations, submitting jobs, and waiting for events.
 
 use super::{Cluster, JOB_TIMEOUT};
 use crate::client::SubmittedJob;
@@ -10,30 +10,39 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// Puts a complete configuration in force that builds on version `base`.
+    /// Applies a complete configuration that builds on version `base`.
     ///
     /// # Panics
     ///
-    /// If the configuration is not taken.
+    /// If the configuration is not accepted.
     pub fn put(&self, configuration: &Configuration, base: u64) {
         let version = configuration.version;
         let response = self
             .operator
             .put(configuration, base)
-            .expect("a clear response");
+            .expect("a core member should give a clear response");
         let (status, body) = (response.status, response.json());
-        assert_eq!(status, 200, "version {version}: {body}");
+        assert_eq!(
+            status, 200,
+            "the configuration of version {version} should be accepted: {body}"
+        );
     }
 
-    /// Changes named items on top of version `base`.
+    /// Applies a change of individual configuration items that builds on version `base`.
     ///
     /// # Panics
     ///
-    /// If the change is not taken.
+    /// If the change is not accepted.
     pub fn patch(&self, change: &Value, base: u64) {
-        let response = self.operator.patch(change, base).expect("a clear response");
+        let response = self
+            .operator
+            .patch(change, base)
+            .expect("a core member should give a clear response");
         let (status, body) = (response.status, response.json());
-        assert_eq!(status, 200, "a change of version {base}: {body}");
+        assert_eq!(
+            status, 200,
+            "the change of version {base} should be accepted: {body}"
+        );
     }
 
     /// The configuration in force.
@@ -42,10 +51,12 @@
     ///
     /// If the configuration cannot be read.
     pub fn read_configuration(&self) -> Value {
-        self.operator.read().expect("the configuration")
+        self.operator
+            .read()
+            .expect("a core member should return the configuration")
     }
 
-    /// The queue of this path prefix in the newest configuration.
+    /// The queue with this path prefix in [`Cluster::configuration`].
     ///
     /// # Panics
     ///
@@ -53,11 +64,11 @@
     pub fn queue(&self, path_prefix: &str) -> Queue {
         self.configuration
             .queue(path_prefix)
-            .expect("a queue of the configuration")
+            .expect("the configuration should have a queue with this path prefix")
             .clone()
     }
 
-    /// Submits a job, retried until it is accepted.
+    /// Submits a job, with retries until it is accepted.
     ///
     /// # Panics
     ///
@@ -65,40 +76,47 @@
     pub fn submit(&self, path_prefix: &str, job: &Job) -> SubmittedJob {
         self.client
             .submit(&self.queue(path_prefix), job)
-            .expect("an accepted job")
+            .expect("the job should be accepted")
     }
 
-    /// Waits until a job is shown as completed.
+    /// Waits until a job has ended, and checks that it is completed.
     ///
     /// # Panics
     ///
-    /// If the job does not complete in time.
+    /// If the job does not end in time, or ends otherwise.
     pub fn expect_completed(&self, submitted: &SubmittedJob) {
         let state = self
             .client
             .wait_end(submitted, JOB_TIMEOUT)
-            .expect("the end of a job");
-        assert_eq!(state, JobState::Completed, "{}", submitted.id);
+            .expect("the job should end in time");
+        assert_eq!(
+            state,
+            JobState::Completed,
+            "final state of job {}",
+            submitted.id
+        );
     }
 
-    /// Waits until these jobs are shown as completed.
+    /// Waits until these jobs have ended, and checks that they are completed.
     pub fn expect_all_completed(&self, submitted: &[SubmittedJob]) {
         for job in submitted {
             self.expect_completed(job);
         }
     }
 
-    /// The state that a job is shown with.
+    /// Reads a job's state; `None` if the job does not exist.
     ///
     /// # Panics
     ///
     /// If the state cannot be read.
     pub fn state(&self, submitted: &SubmittedJob) -> Option<JobState> {
-        self.client.state(submitted).expect("a state")
+        self.client
+            .state(submitted)
+            .expect("an edge should return the job's state")
     }
 
-    /// Submits small jobs, one after another, for so long.
-    pub fn work_for(&self, time: Duration) {
+    /// Submits small jobs for `time`, each after the one before has completed.
+    pub fn submit_jobs_for(&self, time: Duration) {
         let until = self.environment.now() + time;
         while self.environment.now() < until {
             let submitted = self.submit(QUICK, &Job::single(50));
@@ -106,11 +124,11 @@
         }
     }
 
-    /// Waits until `probe` yields something; `what` names it in the panic if it does not.
+    /// Waits until `probe` returns `Some`; `what` names the condition in the panic if it does not.
     ///
     /// # Panics
     ///
-    /// If it yields nothing in time.
+    /// If the probe returns no `Some` in time.
     pub fn wait_for<T>(
         &self,
         what: &str,
@@ -119,15 +137,15 @@
     ) -> T {
         let signal = self.environment.signal();
         let found = signal.wait_until(what, at_most, probe);
-        found.expect("a condition comes true in time")
+        found.expect("the condition should become true in time")
     }
 
-    /// Waits until the record shows something, for [`JOB_TIMEOUT`].
+    /// Waits for at most [`JOB_TIMEOUT`] until `probe` returns `Some` for the record.
     pub fn wait_for_record<T>(&self, what: &str, mut probe: impl FnMut(&Record) -> Option<T>) -> T {
         self.wait_for(what, JOB_TIMEOUT, || self.environment.read(&mut probe))
     }
 
-    /// Waits until one of the job's tasks has started, and returns the number of the last such worker.
+    /// Waits until one of the job's tasks has started, and returns the index of the worker of the latest start.
     ///
     /// # Panics
     ///
@@ -139,10 +157,10 @@
         });
         let mut workers = self.workers.iter();
         let number = workers.position(|worker| worker.name() == name);
-        number.expect("a known worker")
+        number.expect("the run's worker should belong to the cluster")
     }
 
-    /// Waits until exactly so many of the job's runs have started.
+    /// Waits until the number of starts of the job's runs is exactly `count`.
     pub fn wait_starts(&self, submitted: &SubmittedJob, count: usize) {
         let what = format!("{count} starts");
         self.wait_for_record(&what, |record| {
@@ -150,13 +168,13 @@
         });
     }
 
-    /// How many of the job's runs have started.
+    /// Number of starts of the job's runs.
     pub fn count_starts(&self, submitted: &SubmittedJob) -> usize {
         self.environment
             .read(|record| record.count_starts(&submitted.id))
     }
 
-    /// How many of the job's runs have ended for this reason.
+    /// Number of the job's runs that have ended for this reason.
     pub fn count_ends(&self, submitted: &SubmittedJob, reason: EndReason) -> usize {
         self.environment
             .read(|record| record.count_ends(&submitted.id, reason))
--- a/crates/system-tests/src/environment/state/orders.rs
+++ b/crates/system-tests/src/environment/state/orders.rs
@@ -1,9 +1,9 @@
-//! What instances do on the responses to their heartbeats: acknowledgements, run leases, stops and starts.
+//! Applies responses to heartbeats: acknowledgements, run leases, stop orders and start orders.
 
 use super::State;
 use crate::environment::instance::Instance;
 use crate::environment::record::{Event, InstanceIndex, Moment};
-use crate::environment::run::{Fate, Run, is_checkpoint_of};
+use crate::environment::run::{PlannedEnd, Run, is_checkpoint_of};
 use crate::job::Step;
 use crate::task::{RunName, TaskName};
 use crate::wire::{EndReason, HeartbeatResponse, StartOrder, StopOrder};
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 impl State {
-    /// The response to a heartbeat that was sent at `sent`.
+    /// Applies the response to a heartbeat that was sent at `sent`. A response with an outdated fencing token only
+    /// acknowledges the draining; start orders need a run lease in the same response.
     pub(crate) fn handle_heartbeat_response(
         &mut self,
         index: InstanceIndex,
@@ -70,7 +71,7 @@
         let (bounds, instance) = (self.bounds, &mut self.instances[index.0]);
         match instance.runs.get_mut(&run) {
             Some(present) => present.stop(&bounds, now),
-            None => instance.bar(&run),
+            None => instance.refuse_up_to(&run),
         }
     }
 
@@ -113,7 +114,7 @@
         self.push_event(now, event);
     }
 
-    /// Whether a checkpoint is empty, or was reported by this task or its gang.
+    /// Whether a checkpoint is empty, or was reported by this task or its gang before.
     fn is_own_checkpoint(&self, checkpoint: &str, task: &TaskName, gang: bool) -> bool {
         checkpoint.is_empty()
             || (self.reported_checkpoints.contains(checkpoint)
@@ -128,8 +129,15 @@
         checkpoint: String,
         now: Moment,
     ) {
-        let fate = self.fate_of(&name.task, step);
-        let run = Run::new(name.clone(), step, fate, checkpoint, &self.bounds, now);
+        let planned_end = self.planned_end_of(&name.task, step);
+        let run = Run::new(
+            name.clone(),
+            step,
+            planned_end,
+            checkpoint,
+            &self.bounds,
+            now,
+        );
         self.instances[index.0].runs.insert(name.clone(), run);
         if step.gang {
             self.begin_gang(&name, step.count, now);
@@ -153,24 +161,24 @@
         }
     }
 
-    /// How a run ends, by its step's behaviour. Counts it among the task's attempts.
-    fn fate_of(&mut self, task: &TaskName, step: &Step) -> Fate {
+    /// Chooses how a run ends from its step's behaviour, and counts the run among the task's attempts.
+    fn planned_end_of(&mut self, task: &TaskName, step: &Step) -> PlannedEnd {
         let attempts = self.attempts.entry(task.clone()).or_default();
         *attempts += 1;
-        // A gang fails by its first member.
+        // Only the first member of a gang fails; its failure ends the others.
         let may_fail = !step.gang || task.index == 0;
         if step.behaviour.first_hangs && *attempts == 1 {
-            Fate::Hangs
+            PlannedEnd::Hangs
         } else if may_fail && *attempts <= step.behaviour.failures {
-            Fate::Fails
+            PlannedEnd::Fails
         } else if step.long_running {
-            Fate::RunsUntilStopped
+            PlannedEnd::RunsUntilStopped
         } else {
-            Fate::Done
+            PlannedEnd::Done
         }
     }
 
-    /// The run with this name; a name that cannot be read is recorded.
+    /// The run with this task name; records an event and returns `None` if the name cannot be parsed.
     fn run_name(
         &mut self,
         instance: InstanceIndex,
--- a/crates/system-tests/tests/chaos_support/faults.rs
+++ b/crates/system-tests/tests/chaos_support/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that are injected one after another. The core has no more faults at once than it tolerates; the other machines
-//! have any number.
+//! Injects faults one after another. The number of concurrent faults in the core stays within its tolerance; for the
+//! other machines there is no limit.
 
 use super::seeded_random::SeededRandom;
 use indigofold_system_tests::cluster::{CATCH_UP, Cluster};
@@ -9,14 +9,14 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Between two faults so many jobs are accepted ...
-const JOBS_BETWEEN: usize = 3;
-/// ... or so much time passes.
-const TIME_BETWEEN: Duration = Duration::from_millis(1_200);
-/// A draining worker ends after this.
-const DRAIN: Duration = Duration::from_millis(2_500);
+/// The next fault follows once this number of jobs has been accepted, or after [`MAX_TIME_BETWEEN_FAULTS`].
+const JOBS_BETWEEN_FAULTS: usize = 3;
+/// Longest time between two faults.
+const MAX_TIME_BETWEEN_FAULTS: Duration = Duration::from_millis(1_200);
+/// Time that a draining worker needs until it can end.
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
-/// A fault, or a change of the configuration.
+/// A fault to inject, or a change of the configuration.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillAgent,
@@ -41,7 +41,7 @@
     TerminateHead,
 }
 
-/// All faults. Seeds select by position, so the order is part of what a seed means.
+/// All faults. A seed selects them by position, so reordering them changes the faults of every seed.
 const FAULTS: [Fault; 14] = [
     Fault::KillAgent,
     Fault::FreezeAgent,
@@ -59,20 +59,20 @@
     Fault::Configure,
 ];
 
-/// Injects faults and keeps which of them are not repaired.
+/// Injects faults and tracks those that have not been repaired.
 pub(super) struct FaultInjector {
     random: SeededRandom,
-    /// Machines whose process has ended.
+    /// Machines whose process was killed or terminated and has not been restarted.
     down: Vec<MachineId>,
     frozen: Vec<MachineId>,
-    /// When the last restarted or thawed member has caught up, so that the core tolerates another fault.
+    /// Time at which the last restarted or resumed member has caught up, so that the core tolerates another fault.
     core_recovered_at: Moment,
-    /// The newest version of the configuration.
+    /// Newest version of the configuration.
     version: u64,
 }
 
 impl FaultInjector {
-    /// No fault has been injected yet.
+    /// Creates an injector without injected faults; the configuration has version 1.
     pub(super) fn new(random: SeededRandom) -> Self {
         FaultInjector {
             random,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Injects the next fault, and waits until some jobs have been accepted.
-    pub(super) fn next(&mut self, cluster: &mut Cluster) {
-        // Before every second fault, on average, the earlier ones are repaired.
+    /// Injects the next fault, and waits until some jobs have been accepted or a time has passed.
+    pub(super) fn inject_next(&mut self, cluster: &mut Cluster) {
+        // Repairs the earlier faults before every second fault on average.
         if self.random.below(2) == 0 {
             self.repair(cluster);
         }
@@ -93,12 +93,12 @@
         eprintln!("{:8.3} {fault:?}", cluster.environment.now().as_secs_f64());
         self.inject(cluster, fault);
         let before = accepted(cluster);
-        let enough = || (accepted(cluster) >= before + JOBS_BETWEEN).then_some(());
+        let enough = || (accepted(cluster) >= before + JOBS_BETWEEN_FAULTS).then_some(());
         let more = cluster
             .environment
             .signal()
-            .wait_until("jobs", TIME_BETWEEN, enough);
-        // Either will do.
+            .wait_until("jobs", MAX_TIME_BETWEEN_FAULTS, enough);
+        // A timeout is not an error: the next fault follows in either case.
         drop(more);
     }
 
@@ -114,7 +114,10 @@
             self.core_recovered_at = cluster.environment.now() + CATCH_UP;
         }
         for machine in self.frozen.drain(..) {
-            cluster.system.thaw(machine).expect("thawed");
+            cluster
+                .system
+                .thaw(machine)
+                .expect("the process should accept SIGCONT");
         }
         for machine in self.down.drain(..) {
             cluster.start_machine(machine);
@@ -136,7 +139,7 @@
             Fault::KillAgent => self.kill(cluster, sides[worker]),
             Fault::FreezeAgent => self.freeze(cluster, sides[worker]),
             Fault::CrashWorker => cluster.workers[worker].crash(),
-            Fault::DrainWorker => cluster.workers[worker].drain(DRAIN),
+            Fault::DrainWorker => cluster.workers[worker].drain(DRAIN_TIME),
             Fault::KillEdge => self.kill(cluster, edges[0]),
             Fault::TerminateEdge => self.terminate_edge(cluster, edges[1]),
             Fault::Configure => self.configure(cluster),
@@ -158,12 +161,15 @@
 
     fn freeze(&mut self, cluster: &mut Cluster, machine: MachineId) {
         if self.is_healthy(machine) {
-            cluster.system.freeze(machine).expect("frozen");
+            cluster
+                .system
+                .freeze(machine)
+                .expect("the process should accept SIGSTOP");
             self.frozen.push(machine);
         }
     }
 
-    /// An edge that has only just started may not yet watch for signals.
+    /// Terminates an edge once it is ready: right after its start it may not handle signals yet.
     fn terminate_edge(&mut self, cluster: &mut Cluster, edge: MachineId) {
         if self.is_healthy(edge) {
             cluster.wait_edge(edge);
@@ -178,7 +184,7 @@
         }
     }
 
-    /// Injects a fault of one member, if the core tolerates one now.
+    /// Injects a fault of one core member, unless another member is still faulty or catching up.
     fn inject_member_fault(&mut self, cluster: &mut Cluster, fault: MemberFault) {
         let cores = cluster.system.cores();
         let all_up = cores.iter().all(|core| self.is_healthy(*core));
@@ -194,7 +200,10 @@
             MemberFault::TerminateHead => self.terminate(cluster, head),
             MemberFault::Wipe => {
                 self.kill(cluster, any);
-                cluster.system.wipe(any).expect("an empty disk");
+                cluster
+                    .system
+                    .wipe(any)
+                    .expect("the disk should be emptied");
             }
         }
         if self.random.below(3) > 0 {
@@ -212,7 +221,7 @@
         }
     }
 
-    /// All members that run are killed at the same moment, and all start again.
+    /// Kills all core members, one right after another, and then starts them all again.
     fn kill_core(&mut self, cluster: &mut Cluster) {
         let cores = cluster.system.cores();
         cluster.kill_machines(&cores);
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -1,4 +1,4 @@
-//! Clients that submit jobs of all kinds.
+//! Clients that submit random jobs of all kinds.
 
 use super::seeded_random::SeededRandom;
 use indigofold_system_tests::client::{Client, SubmittedJob};
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A client waits for its oldest job once so many are open.
-const OPEN_MAX: usize = 10;
+/// Number of open jobs at which a client waits for the oldest one to end.
+const OPEN_JOBS_MAX: usize = 10;
 
 /// Submits jobs, and cancels some, until `stopping` is set.
 pub(super) fn submit_until(
@@ -23,24 +23,32 @@
     while !stopping.load(Ordering::Relaxed) {
         let queue = configuration
             .queue(random.choose(&[QUICK, BATCH]))
-            .expect("a queue");
+            .expect("the configuration should have this queue");
         let (job, cancels) = random_job(&mut random);
-        let submitted = client.submit(queue, &job).expect("an accepted job");
+        let submitted = client
+            .submit(queue, &job)
+            .expect("the job should be accepted");
         if cancels {
-            client.state(&submitted).expect("a state");
-            client.cancel(&submitted).expect("cancelled");
+            client
+                .state(&submitted)
+                .expect("an edge should return the job's state");
+            client
+                .cancel(&submitted)
+                .expect("the cancellation should be acknowledged");
         } else {
             open.push_back(submitted);
         }
-        if open.len() >= OPEN_MAX
+        if open.len() >= OPEN_JOBS_MAX
             && let Some(oldest) = open.pop_front()
         {
-            client.wait_end(&oldest, JOB_TIMEOUT).expect("an end");
+            client
+                .wait_end(&oldest, JOB_TIMEOUT)
+                .expect("the job should end in time");
         }
     }
 }
 
-/// A job, and whether it is to be cancelled at once.
+/// Creates a random job, and decides whether it is cancelled right after its submission.
 fn random_job(random: &mut SeededRandom) -> (Job, bool) {
     let work = 50 + random.below(800);
     let step = Step::new(1 + random.below(4) as u32, work).cpu(random.choose(&[200, 500, 1_500]));
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -1,4 +1,4 @@
-//! The run of one seed: clients that submit jobs, and faults that are injected one after another.
+//! Runs one seed: clients submit jobs while faults are injected one after another.
 
 mod faults;
 mod jobs;
@@ -7,21 +7,21 @@
 use faults::FaultInjector;
 use indigofold_system_tests::checks::Exemptions;
 use indigofold_system_tests::cluster::Cluster;
-use indigofold_system_tests::system::{Programs, Shape};
+use indigofold_system_tests::system::{MachineCounts, Programs};
 use seeded_random::SeededRandom;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Clients that submit jobs at the same time.
+/// Number of clients that submit jobs concurrently.
 const CLIENTS: u64 = 3;
-/// Faults in one run.
+/// Number of faults that are injected in one run.
 const FAULT_COUNT: usize = 12;
 
-/// Runs a seed; panics if a rule was broken or an accepted job has not ended.
+/// Runs a seed; panics if a rule is broken or an accepted job does not end in time.
 pub(crate) fn run_seed(programs: Programs, seed: u64) {
     let mut cluster = Cluster::start(
         programs,
-        Shape {
+        MachineCounts {
             cores: 3,
             edges: 2,
             sides: 4,
@@ -42,11 +42,11 @@
         })
         .collect();
     let mut injector = FaultInjector::new(SeededRandom::new(seed));
-    (0..FAULT_COUNT).for_each(|_| injector.next(&mut cluster));
+    (0..FAULT_COUNT).for_each(|_| injector.inject_next(&mut cluster));
     injector.repair_all(&mut cluster);
     stopping.store(true, Ordering::Relaxed);
     clients
         .into_iter()
-        .for_each(|client| client.join().expect("a client's jobs"));
+        .for_each(|client| client.join().expect("the client's thread should not panic"));
     cluster.finish();
 }
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -1,23 +1,23 @@
-//! The operator's configuration: each version is accepted once and comes into force at every edge.
+//! The operator's configuration: each version is accepted once and takes effect at every edge.
 
 use indigofold_system_tests::cluster::{Cluster, START_TIMEOUT};
 use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue, VISION};
 use indigofold_system_tests::http::Request;
 use indigofold_system_tests::operator::{put_request, redirection};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A queue that later versions add.
+/// Path prefix of a queue that later versions add.
 const ADDED: &str = "/added/";
-/// No job has this id.
+/// An id that no job has.
 const NO_JOB: &str = "0123456789abcdef";
 
-/// Every edge's status for a job that does not exist: 410 on a known queue, 404 without one.
+/// Statuses of all edges for a job that does not exist: 410 if the edge knows the queue, 404 otherwise.
 fn statuses(cluster: &Cluster, path_prefix: &str) -> BTreeSet<u16> {
     let request = Request::new("GET", format!("{path_prefix}{NO_JOB}"));
     let edges = cluster.client.edges().iter();
@@ -26,13 +26,13 @@
             cluster
                 .client
                 .request_at(*edge, &request)
-                .expect("a response")
+                .expect("the request should get a response")
                 .status
         })
         .collect()
 }
 
-/// Waits until all edges respond so, within the time that a configuration may take to come into force.
+/// Waits until all edges respond with `status`, at most for the time in which a configuration must take effect.
 fn wait_in_force(cluster: &Cluster, path_prefix: &str, status: u16) {
     let bound = cluster.environment.bounds().config_apply;
     let wanted = BTreeSet::from([status]);
@@ -44,10 +44,10 @@
 fn the_first_configuration_is_in_force_at_every_edge() {
     let mut cluster = Cluster::start(
         programs!(),
-        Shape {
+        MachineCounts {
             edges: 3,
             sides: 1,
-            ..Shape::default()
+            ..MachineCounts::default()
         },
     );
     wait_in_force(&cluster, QUICK, 410);
@@ -61,7 +61,7 @@
 
 #[rstest]
 fn an_edge_without_configuration_responds_503() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::default());
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::default());
     let machines = [cluster.system.cores(), cluster.system.edges()].concat();
     cluster.start_machines(&machines);
     let edge = cluster.client.edges()[0];
@@ -75,7 +75,7 @@
 
 #[rstest]
 fn added_and_removed_routes_come_into_force() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let route = Queue::new(ADDED, PLANNING, 1).to_json();
     let change = json!({"version": 4, "upsert": {"routes": [route]}});
     cluster.patch(&change, 1);
@@ -99,20 +99,20 @@
 
 #[rstest]
 fn a_repeated_put_is_acknowledged_at_any_member() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let second = Configuration::standard(5).with(Queue::new(ADDED, VISION, 1));
     for _ in 0..2 {
         cluster.put(&second, 1);
     }
-    // Neither a retry of the same put nor one of the first version, which has been replaced since, is refused as new.
+    // A retry of the same put is not refused as a conflict, nor is one of the first version, which has been replaced.
     for member in cluster.operator.members() {
         let response = cluster
             .operator
             .request_once(*member, &put_request(&second.to_json(), 1))
-            .expect("a response");
+            .expect("the request should get a response");
         assert!(
             matches!(response.status, 200 | 307 | 503),
-            "{}",
+            "status {}, expected 200, 307 or 503",
             response.status
         );
     }
@@ -120,7 +120,7 @@
         cluster
             .operator
             .put(&cluster.configuration, 0)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -130,10 +130,14 @@
 
 #[rstest]
 fn another_configuration_of_a_used_version_is_refused() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
     assert_eq!(
-        cluster.operator.put(&other, 0).expect("a response").status,
+        cluster
+            .operator
+            .put(&other, 0)
+            .expect("the request should get a response")
+            .status,
         412
     );
     assert_eq!(
@@ -147,44 +151,52 @@
 #[case::with_the_same_version(3, 3)]
 #[case::with_different_versions(3, 4)]
 fn one_of_two_racing_puts_is_accepted(#[case] one: u64, #[case] other: u64) {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let versions = [
         Configuration::standard(one).with(Queue::new("/one/", PLANNING, 1)),
         Configuration::standard(other).with(Queue::new("/other/", PLANNING, 1)),
     ];
     let operator = &cluster.operator;
     let statuses = std::thread::scope(|scope| {
-        let put =
-            |version| scope.spawn(move || operator.put(version, 1).expect("a response").status);
+        let put = |version| {
+            scope.spawn(move || {
+                operator
+                    .put(version, 1)
+                    .expect("the request should get a response")
+                    .status
+            })
+        };
         let racing: Vec<_> = versions.iter().map(put).collect();
         racing
             .into_iter()
-            .map(|put| put.join().expect("an operator"))
+            .map(|put| put.join().expect("the operator's thread should not panic"))
             .collect::<Vec<_>>()
     });
     let winner = statuses
         .iter()
         .position(|status| *status == 200)
-        .expect("a winner");
+        .expect("one of the puts should be accepted");
     assert_eq!(statuses[1 - winner], 412);
     assert_eq!(
-        operator.read().expect("the configuration"),
+        operator
+            .read()
+            .expect("a core member should return the configuration"),
         versions[winner].to_json()
     );
     cluster.check();
 }
 
-fn without_service(mut configuration: Value) -> Value {
+fn with_unknown_service(mut configuration: Value) -> Value {
     configuration["routes"][0]["backend"] = "nobody".into();
     configuration
 }
 
-fn with_shared_path_prefix(mut configuration: Value) -> Value {
+fn with_duplicate_path_prefix(mut configuration: Value) -> Value {
     configuration["routes"][0]["path_prefix"] = configuration["routes"][1]["path_prefix"].clone();
     configuration
 }
 
-fn without_timeout(mut configuration: Value) -> Value {
+fn with_zero_timeout(mut configuration: Value) -> Value {
     configuration["routes"][0]["timeout_ms"] = 0.into();
     configuration
 }
@@ -196,17 +208,17 @@
 }
 
 #[rstest]
-#[case::unknown_service(without_service)]
-#[case::shared_host_and_path_prefix(with_shared_path_prefix)]
-#[case::no_timeout(without_timeout)]
+#[case::unknown_service(with_unknown_service)]
+#[case::shared_host_and_path_prefix(with_duplicate_path_prefix)]
+#[case::no_timeout(with_zero_timeout)]
 #[case::version_not_higher(not_newer)]
-fn an_invalid_configuration_is_refused(#[case] spoil: fn(Value) -> Value) {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
-    let spoilt = spoil(Configuration::standard(7).to_json());
+fn an_invalid_configuration_is_refused(#[case] invalidate: fn(Value) -> Value) {
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
+    let invalid = invalidate(Configuration::standard(7).to_json());
     let response = cluster
         .operator
-        .request(&put_request(&spoilt, 1))
-        .expect("a response");
+        .request(&put_request(&invalid, 1))
+        .expect("the request should get a response");
     assert_eq!(response.status, 400);
     let truncated = Request::new("PUT", "/config")
         .header("If-Match", "1")
@@ -215,7 +227,7 @@
         cluster
             .operator
             .request(&truncated)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         400
     );
@@ -226,21 +238,26 @@
     cluster.check();
 }
 
-/// Where a member that is not the head redirects to, once it knows the head. Until then it responds with 503.
+/// Waits for a redirection and returns its address. A member that is not the head responds with 503 until it knows the
+/// head, and then redirects to it.
 fn wait_redirection(cluster: &Cluster, member: SocketAddr, request: &Request) -> SocketAddr {
     cluster.wait_for("a redirection", START_TIMEOUT, || {
         let response = cluster
             .operator
             .request_once(member, request)
-            .expect("a response");
-        assert!(matches!(response.status, 307 | 503), "{}", response.status);
+            .expect("the request should get a response");
+        assert!(
+            matches!(response.status, 307 | 503),
+            "status {}, expected 307 or 503",
+            response.status
+        );
         redirection(&response)
     })
 }
 
 #[rstest]
 fn members_that_are_not_head_redirect_to_it() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let head = cluster.system.control_plane(cluster.head());
     let next = put_request(&Configuration::standard(2).to_json(), 1);
     for member in cluster
@@ -258,7 +275,7 @@
 
 #[rstest]
 fn members_without_a_head_respond_503_at_once() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let cores = cluster.system.cores();
     let (killed, remaining) = cores.split_at(2);
     cluster.kill_machines(killed);
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -1,4 +1,4 @@
-//! Edges and clients that are slow, send much, or set a deadline.
+//! Edges with unusual clients: slow or stalled connections, large requests, deadlines, and a core that is unavailable.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
@@ -7,26 +7,26 @@
 use indigofold_system_tests::job::Job;
 use indigofold_system_tests::programs;
 use indigofold_system_tests::random;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use rstest::rstest;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything in these tests.
+/// Timeout of each wait in these tests.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-fn small() -> Shape {
-    Shape {
+fn small_counts() -> MachineCounts {
+    MachineCounts {
         sides: 1,
         edges: 1,
-        ..Shape::default()
+        ..MachineCounts::default()
     }
 }
 
-/// Puts limits in force that a test reaches quickly.
-fn tighten(cluster: &Cluster) {
+/// Applies limits that are low enough for a test to exceed.
+fn apply_low_limits(cluster: &Cluster) {
     let limits = json!({
         "max_header_bytes": 2_048, "max_body_bytes": 8_192, "header_timeout_ms": 300, "idle_timeout_ms": 400
     });
@@ -49,39 +49,49 @@
 
 #[rstest]
 fn limits_of_a_configuration_come_into_force() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let job = json!({"spec": "x", "stages": [{"count": 1, "cpu": 1}], "more": "y".repeat(9_000)});
-    // Read, and refused for its id only.
+    // Within the first limits, so the edge reads the body and rejects only the invalid id.
     let large = Request::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
     let long = Request::new("GET", QUICK).header("X-Long", "z".repeat(4_000));
     assert_eq!(
-        cluster.client.request(&large).expect("a response").status,
+        cluster
+            .client
+            .request(&large)
+            .expect("the request should get a response")
+            .status,
         400
     );
     assert_eq!(
-        cluster.client.request(&long).expect("a response").status,
+        cluster
+            .client
+            .request(&long)
+            .expect("the request should get a response")
+            .status,
         200
     );
-    tighten(&cluster);
+    apply_low_limits(&cluster);
     wait_for_response(&cluster, &large, &[413]);
     wait_for_response(&cluster, &long, &[431]);
     assert_eq!(
         cluster
             .client
             .request(&Request::new("GET", QUICK))
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
     cluster.check();
 }
 
-/// Reads until the edge closes the connection; returns how long that took.
+/// Reads until the edge closes the connection; returns the time until then.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
     let started = Instant::now();
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout should be set");
     let mut bytes = Vec::new();
-    // A reset closes it too.
+    // A reset also means that the connection is closed.
     let _ = stream.read_to_end(&mut bytes);
     started.elapsed()
 }
@@ -90,8 +100,8 @@
 #[case::idle(b"")]
 #[case::in_the_head(b"GET /quick/ HTTP/1.1\r\nHost: que")]
 fn stalled_connections_are_closed(#[case] sent: &[u8]) {
-    let mut cluster = Cluster::start(programs!(), small());
-    tighten(&cluster);
+    let mut cluster = Cluster::start(programs!(), small_counts());
+    apply_low_limits(&cluster);
     cluster.wait_for("a closed connection", TIMEOUT, || {
         let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
         stream.write_all(sent).ok()?;
@@ -102,8 +112,9 @@
 
 #[rstest]
 fn a_connection_carries_several_requests() {
-    let mut cluster = Cluster::start(programs!(), small());
-    let mut connection = Connection::open(edge(&cluster), TIMEOUT).expect("a connection");
+    let mut cluster = Cluster::start(programs!(), small_counts());
+    let mut connection =
+        Connection::open(edge(&cluster), TIMEOUT).expect("the edge should accept a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
     for (path, status) in [
         (QUICK, 200),
@@ -115,12 +126,15 @@
         assert_eq!(
             connection
                 .request(&request, TIMEOUT)
-                .expect("a response")
+                .expect("the request should get a response")
                 .status,
             status,
             "{path}"
         );
-        assert!(!connection.is_closed(), "closed after {path}");
+        assert!(
+            !connection.is_closed(),
+            "the edge closed the connection after {path}"
+        );
     }
     cluster.check();
 }
@@ -129,11 +143,11 @@
 #[case::with_a_port(format!("{HOST}:8080"))]
 #[case::in_capitals(HOST.to_uppercase())]
 fn a_host_matches_in_any_form(#[case] host: String) {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let request = Request::new("GET", QUICK).header("Host", host);
     assert_eq!(
         request_once(edge(&cluster), &request, TIMEOUT)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -142,13 +156,13 @@
 
 #[rstest]
 fn a_chunked_body_is_read() {
-    let cluster = Cluster::start(programs!(), small());
+    let cluster = Cluster::start(programs!(), small_counts());
     let submitted = SubmittedJob::new(&cluster.queue(BATCH));
     let job = Job::single(50);
     cluster
         .environment
         .job_sent(&submitted.id, &job, &submitted.queue);
-    let body = serde_json::to_string(&job).expect("a job as JSON");
+    let body = serde_json::to_string(&job).expect("the job should serialize to JSON");
     let (first, second) = body.split_at(body.len() / 2);
     let head = format!(
         "POST {BATCH}{} HTTP/1.1\r\nHost: {HOST}\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -159,30 +173,42 @@
         first.len(),
         second.len()
     );
-    let mut stream = TcpStream::connect(edge(&cluster)).expect("a connection");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
-    stream.write_all((head + &chunks).as_bytes()).expect("sent");
+    let mut stream =
+        TcpStream::connect(edge(&cluster)).expect("the edge should accept a connection");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout should be set");
+    stream
+        .write_all((head + &chunks).as_bytes())
+        .expect("the request should be sent");
     let mut status = [0; 12];
-    stream.read_exact(&mut status).expect("a response");
+    stream
+        .read_exact(&mut status)
+        .expect("the request should get a response");
     assert_eq!(&status, b"HTTP/1.1 200");
     cluster.environment.job_responded(&submitted.id, Some(200));
     cluster.expect_completed(&submitted);
     cluster.finish();
 }
 
-/// While the core is frozen, a request gets its response by its deadline. The response says that the request may have been
-/// accepted only if it may have been.
+/// While the core is frozen, a request gets its response by its deadline. The status is 503 if the request was
+/// not sent to the core or only reads, and 504 if it may have been carried out.
 #[rstest]
 fn a_request_gets_its_response_by_its_deadline() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     cluster.wait_ready();
     cluster.freeze_machines(&cluster.system.cores());
     let started = Instant::now();
     let request = Request::new("GET", QUICK)
         .header("Host", HOST)
         .header("Indigofold-Deadline-Ms", "400");
-    let response = request_once(edge(&cluster), &request, TIMEOUT).expect("a response");
-    assert!(matches!(response.status, 503 | 504), "{}", response.status);
+    let response =
+        request_once(edge(&cluster), &request, TIMEOUT).expect("the request should get a response");
+    assert!(
+        matches!(response.status, 503 | 504),
+        "status {}, expected 503 or 504",
+        response.status
+    );
     assert!(
         started.elapsed() < Duration::from_millis(800),
         "responded after {:?}",
@@ -194,10 +220,10 @@
     cluster.finish();
 }
 
-/// Once the head is known to have ended, requests are refused at once, with a time after which to retry.
+/// Once the edge knows that the head has ended, it refuses requests at once with a `Retry-After` header.
 #[rstest]
 fn without_a_core_requests_are_refused_at_once() {
-    let mut cluster = Cluster::start(programs!(), small());
+    let mut cluster = Cluster::start(programs!(), small_counts());
     let cores = cluster.system.cores();
     cluster.kill_machines(&cores);
     cluster.wait_for("an immediate refusal", JOB_TIMEOUT, || {
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from their submission to their ends.
+//! The life cycle of jobs: submission, runs, results, cancellation, and responses to invalid requests.
 
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT, WORKER_CAPACITY};
@@ -8,13 +8,13 @@
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
 use indigofold_system_tests::random;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// All runs of a cancelled job must have ended by then.
+/// Longest time from a cancellation until all runs of the job have ended.
 const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 
 fn one_task() -> Job {
@@ -33,7 +33,7 @@
     ])
 }
 
-/// Two tasks of which no worker may run more than one.
+/// A gang of two tasks with at most one task on each worker.
 fn gang_on_two_workers() -> Job {
     Job::new(vec![Step::new(2, 400).cpu(3_000).gang().anti_affinity(1)])
 }
@@ -66,7 +66,7 @@
 #[case::a_required_label(bound_to_one_worker())]
 #[case::more_tasks_than_capacity(more_tasks_than_capacity())]
 fn a_job_is_completed(#[case] job: Job) {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &job);
     cluster.expect_completed(&submitted);
     let done = cluster.count_ends(&submitted, EndReason::Done);
@@ -77,13 +77,13 @@
 
 #[rstest]
 fn a_job_fails_once_its_task_uses_up_its_retries() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).failures(u32::MAX)]));
     assert_eq!(
         cluster
             .client
             .wait_end(&submitted, JOB_TIMEOUT)
-            .expect("an end"),
+            .expect("the job should end in time"),
         JobState::Failed
     );
     let failures = cluster.count_ends(&submitted, EndReason::Failed);
@@ -93,7 +93,7 @@
 
 #[rstest]
 fn tasks_of_two_services_go_to_their_own_workers() {
-    let mut cluster = Cluster::prepare(programs!(), Shape::with_sides(2));
+    let mut cluster = Cluster::prepare(programs!(), MachineCounts::with_sides(2));
     let system = &cluster.system;
     let (sides, machines) = (
         system.sides(),
@@ -114,8 +114,8 @@
 
 #[rstest]
 fn a_long_running_job_runs_until_it_is_cancelled() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
-    // Its first runs fail, and are retried whatever the queue's limit is.
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
+    // The first runs fail more often than the queue allows; a long-running step is retried without limit.
     let submitted = cluster.submit(
         QUICK,
         &Job::new(vec![Step::new(2, 100).long_running().failures(4)]),
@@ -126,29 +126,39 @@
         (last.count() >= 2).then_some(())
     });
     assert_eq!(cluster.state(&submitted), Some(JobState::Running));
-    cluster.client.cancel(&submitted).expect("cancelled");
+    cluster
+        .client
+        .cancel(&submitted)
+        .expect("the cancellation should be acknowledged");
     let all_ended = |record: &Record| {
         (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
     };
     cluster
         .environment
-        .wait_until("the ends of what was cancelled", STOP_TIMEOUT, all_ended)
-        .expect("all ends");
+        .wait_until(
+            "the ends of the cancelled job's runs",
+            STOP_TIMEOUT,
+            all_ended,
+        )
+        .expect("all runs of the cancelled job should end in time");
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
     cluster.check();
 }
 
 #[rstest]
 fn a_waiting_job_can_be_cancelled_and_never_runs() {
-    let cluster = Cluster::start(programs!(), Shape::default());
-    let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
-    let submitted = cluster.submit(QUICK, &nowhere);
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
+    let unschedulable = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
+    let submitted = cluster.submit(QUICK, &unschedulable);
     assert_eq!(cluster.state(&submitted), Some(JobState::Queued));
-    cluster.client.cancel(&submitted).expect("cancelled");
     cluster
         .client
         .cancel(&submitted)
-        .expect("cancelled once more");
+        .expect("the cancellation should be acknowledged");
+    cluster
+        .client
+        .cancel(&submitted)
+        .expect("a repeated cancellation should be acknowledged");
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
     assert_eq!(cluster.count_starts(&submitted), 0);
     cluster.finish();
@@ -158,9 +168,9 @@
 fn one_id_submitted_at_all_edges_at_once_is_one_job() {
     let cluster = Cluster::start(
         programs!(),
-        Shape {
+        MachineCounts {
             edges: 3,
-            ..Shape::default()
+            ..MachineCounts::default()
         },
     );
     let submitted = SubmittedJob::new(&cluster.queue(QUICK));
@@ -170,16 +180,16 @@
             scope.spawn(|| {
                 let response = client
                     .submit_once(*edge, &submitted, &job)
-                    .expect("a response");
+                    .expect("the request should get a response");
                 assert_eq!(response.status, 200);
             });
         }
     });
     cluster.expect_completed(&submitted);
-    // After its end the same id is still the same job.
+    // A submission with the same id after the job's end still refers to the same job.
     let response = client
         .submit_once(client.edges()[0], &submitted, &job)
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(response.status, 200);
     assert_eq!(cluster.count_starts(&submitted), 3);
     cluster.finish();
@@ -187,7 +197,7 @@
 
 #[rstest]
 fn many_jobs_from_many_clients_all_end() {
-    let cluster = Cluster::start(programs!(), Shape::default());
+    let cluster = Cluster::start(programs!(), MachineCounts::default());
     std::thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(|| {
@@ -201,7 +211,7 @@
     let pending = cluster
         .client
         .request(&Request::new("GET", QUICK))
-        .expect("a response");
+        .expect("the request should get a response");
     assert_eq!(
         (pending.status, pending.json()["pending"].as_u64()),
         (200, Some(0))
@@ -211,7 +221,7 @@
 
 #[rstest]
 fn invalid_requests_get_distinct_statuses() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let unknown = random::job_id();
     let submit = |path: String, body: &str| Request::new("POST", path).json(body);
     let job = r#"{"spec":"x","stages":[{"count":1,"cpu":100}]}"#;
@@ -242,7 +252,7 @@
             let response = cluster
                 .client
                 .request_at(*edge, &request)
-                .expect("a response");
+                .expect("the request should get a response");
             assert_eq!(
                 response.status, status,
                 "{} {}",
@@ -255,9 +265,11 @@
 
 #[rstest]
 fn pending_jobs_are_counted() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
-    let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
-    let submitted: Vec<SubmittedJob> = (0..3).map(|_| cluster.submit(BATCH, &nowhere)).collect();
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
+    let unschedulable = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
+    let submitted: Vec<SubmittedJob> = (0..3)
+        .map(|_| cluster.submit(BATCH, &unschedulable))
+        .collect();
     let counts: BTreeSet<Option<u64>> = cluster
         .client
         .edges()
@@ -266,14 +278,17 @@
             cluster
                 .client
                 .request_at(*edge, &Request::new("GET", BATCH))
-                .expect("a response")
+                .expect("the request should get a response")
                 .json()["pending"]
                 .as_u64()
         })
         .collect();
     assert_eq!(counts, BTreeSet::from([Some(3)]));
-    submitted
-        .iter()
-        .for_each(|job| cluster.client.cancel(job).expect("cancelled"));
+    submitted.iter().for_each(|job| {
+        cluster
+            .client
+            .cancel(job)
+            .expect("the cancellation should be acknowledged");
+    });
     cluster.check();
 }
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned ends: after SIGTERM no request is lost, and jobs go on.
+//! Graceful shutdown: after SIGTERM no request is lost, and jobs continue.
 
 use indigofold_system_tests::client::{Client, SubmittedJob};
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
@@ -6,22 +6,22 @@
 use indigofold_system_tests::http::{Connection, HttpError, Request, Response};
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::Shape;
+use indigofold_system_tests::system::MachineCounts;
 use indigofold_system_tests::wait::Signal;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Connections that send one request after another to an edge.
+/// Number of threads that send requests to an edge at the same time.
 const CALLERS: usize = 6;
-/// Time-out of one request: longer than the platform lets a process live after SIGTERM.
+/// Timeout of one request; longer than the platform's grace time after SIGTERM.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Responses received before the signal is sent.
-const REQUESTS_BEFORE: usize = 60;
+/// Number of responses received before SIGTERM is sent.
+const RESPONSES_BEFORE_SIGTERM: usize = 60;
 
-/// Whether a request was read and got no complete response: its connection was lost after the response had started, or too
-/// late for the request to have been unread.
+/// Whether a request was read and got no complete response: its connection was lost after the response had started, or
+/// later than an unread request's connection can be lost (`slack`).
 fn is_lost(error: &HttpError, slack: Duration) -> bool {
     match error {
         HttpError::Connect { .. } | HttpError::Send { .. } => false,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Sends requests to an edge until it takes no more connections; returns the errors of those that were lost.
+/// Sends requests to an edge until it accepts no more connections; returns the errors of the lost requests.
 fn request_until_closed(
     edge: SocketAddr,
     request: &Request,
@@ -52,7 +52,7 @@
 
 #[rstest]
 fn sigterm_of_an_edge_under_load_loses_no_request_that_was_read() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (edge, slack) = (
         cluster.system.edges()[0],
         cluster.environment.bounds().loss_slack,
@@ -71,14 +71,14 @@
         let caller =
             || scope.spawn(|| request_until_closed(address, &request, slack, count_response));
         let callers: Vec<_> = (0..CALLERS).map(|_| caller()).collect();
-        let enough = || (count.load(Ordering::Relaxed) >= REQUESTS_BEFORE).then_some(());
+        let enough = || (count.load(Ordering::Relaxed) >= RESPONSES_BEFORE_SIGTERM).then_some(());
         signal
             .wait_until("responses", JOB_TIMEOUT, enough)
-            .expect("responses");
+            .expect("enough responses should arrive in time");
         cluster.terminate_and_wait(edge);
         callers
             .into_iter()
-            .flat_map(|caller| caller.join().expect("a caller"))
+            .flat_map(|caller| caller.join().expect("the calling thread should not panic"))
             .collect::<Vec<_>>()
     });
     assert!(lost.is_empty(), "requests were lost: {lost:?}");
@@ -87,32 +87,35 @@
     cluster.finish();
 }
 
-/// Waits until all callers' submissions have been sent, and so long ago that the edge has read them.
+/// Waits until all callers have sent their submissions, and then for `slack`, so that the edge has read them.
 fn wait_pending(cluster: &Cluster, slack: Duration) {
     let environment = &cluster.environment;
     let sent = environment.wait_until("requests", JOB_TIMEOUT, |record| {
         (record.jobs.len() == CALLERS).then(|| environment.now())
     });
-    // Requests that are lost later than this have been read.
-    let read = sent.expect("requests") + slack;
+    // A request whose connection is lost later than this has been read.
+    let read = sent.expect("all callers should send their requests in time") + slack;
     let waiting = environment.wait_until("pending requests", JOB_TIMEOUT, |_| {
         (environment.now() > read).then_some(())
     });
-    waiting.expect("pending requests");
+    waiting.expect("the slack should pass in time");
 }
 
-/// Requests that wait at an edge for a frozen head when the edge gets SIGTERM.
+/// Requests wait at an edge for a frozen head when the edge receives SIGTERM. The edge completes them before it exits.
 #[rstest]
 fn sigterm_of_an_edge_with_pending_requests_completes_them() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (edge, slack) = (
         cluster.system.edges()[0],
         cluster.environment.bounds().loss_slack,
     );
     let head = cluster.head();
-    cluster.system.freeze(head).expect("frozen");
+    cluster
+        .system
+        .freeze(head)
+        .expect("the process should accept SIGSTOP");
     let (client, queue) = (
-        cluster.client.at(&[cluster.system.frontend(edge)]),
+        cluster.client.with_edges(&[cluster.system.frontend(edge)]),
         cluster.queue(QUICK),
     );
     let submitting: Vec<_> = (0..CALLERS)
@@ -122,12 +125,21 @@
         })
         .collect();
     wait_pending(&cluster, slack);
-    cluster.system.terminate(edge).expect("a signal");
+    cluster
+        .system
+        .terminate(edge)
+        .expect("the edge should accept SIGTERM");
     let unready = || (!cluster.is_ready(edge)).then_some(());
     cluster.wait_for("an edge that is not ready", JOB_TIMEOUT, unready);
-    cluster.system.thaw(head).expect("thawed");
+    cluster
+        .system
+        .thaw(head)
+        .expect("the process should accept SIGCONT");
     for client in submitting {
-        if let Err(error) = client.join().expect("a client") {
+        if let Err(error) = client
+            .join()
+            .expect("the submitting thread should not panic")
+        {
             assert!(!is_lost(&error, slack), "a request was lost: {error}");
         }
     }
@@ -135,7 +147,7 @@
         cluster
             .system
             .wait_exit(edge)
-            .expect("an end in time")
+            .expect("the edge should exit within the grace time after SIGTERM")
             .success()
     );
     cluster.finish();
@@ -148,14 +160,14 @@
 
 #[rstest]
 fn an_idle_connection_does_not_keep_an_edge_from_ending() {
-    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
+    let mut cluster = Cluster::start(programs!(), MachineCounts::with_sides(1));
     let edge = cluster.system.edges()[0];
-    let mut idle =
-        Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT).expect("a connection");
+    let mut idle = Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT)
+        .expect("the edge should accept a connection");
     let request = Request::new("GET", QUICK).header("Host", HOST);
     assert_eq!(
         idle.request(&request, RESPONSE_TIMEOUT)
-            .expect("a response")
+            .expect("the request should get a response")
             .status,
         200
     );
@@ -165,7 +177,7 @@
 
 #[rstest]
 fn jobs_and_configurations_go_on_after_sigterm_of_the_head() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let job = Job::new(vec![Step::new(4, 1_500), Step::new(2, 500).after(&[0])]);
     let submitted = cluster.submit(QUICK, &job);
     cluster.wait_started(&submitted);
@@ -181,19 +193,21 @@
     cluster.finish();
 }
 
-/// All machines are stopped and started in turn while jobs are submitted; nothing is started twice or lost.
+/// All machines are stopped and started in turn while jobs are submitted; no task starts twice and no job is lost.
 #[rstest]
 fn jobs_complete_during_a_rolling_restart() {
-    let mut cluster = Cluster::start(programs!(), Shape::default());
+    let mut cluster = Cluster::start(programs!(), MachineCounts::default());
     let (client, queue) = (cluster.client.clone(), cluster.queue(QUICK));
     let stopping = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let until = stopping.clone();
+    let stop_requested = stopping.clone();
     let submitting = std::thread::spawn(move || {
-        while !until.load(Ordering::Relaxed) {
+        while !stop_requested.load(Ordering::Relaxed) {
             let submitted = client
                 .submit(&queue, &Job::new(vec![Step::new(2, 150)]))
-                .expect("an accepted job");
-            client.wait_end(&submitted, JOB_TIMEOUT).expect("an end");
+                .expect("the job should be accepted");
+            client
+                .wait_end(&submitted, JOB_TIMEOUT)
+                .expect("the job should end in time");
         }
     });
     let machines = [
@@ -209,6 +223,8 @@
         cluster.expect_completed(&done);
     }
     stopping.store(true, Ordering::Relaxed);
-    submitting.join().expect("all jobs");
+    submitting
+        .join()
+        .expect("the submitting thread should not panic");
     cluster.finish();
 }
