--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,10 +1,12 @@
-//! Baseline schedulers to measure against: one policy for where a job goes, an attempt elsewhere when one fails and the class
-//! allows it, and an answer in time. They protect neither workers that are warming up nor tenants' quotas nor late jobs.
+//! Baseline schedulers that the module is compared with. Each follows one placement policy, retries a failed attempt on
+//! another worker if the class allows it, and answers before the client's deadline. They protect neither workers that are
+//! warming up nor tenants' quotas nor late jobs.
 //!
-//! Definitions: *random*; *round robin*; *least own* (fewest of this scheduler's slots in flight); *two choices* (the fewer
-//! of two drawn); *by key* (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam 2018: the first
-//! worker in the subject's order whose own slots are under 1.25 times the mean); *all-knowing* (the worker where the job
-//! would end first, by the true state of all: no real one can).
+//! The policies are *random*; *round robin*; *least own* (the worker with the fewest of this scheduler's slots in flight);
+//! *two choices* (the less loaded of two random workers); *by key* (consistent hashing with bounded loads, Mirrokni, Thorup
+//! and Zadimoghaddam 2018: the first worker in the subject's order whose own slots are under 1.25 times the mean);
+//! *all-knowing* (the worker on which the job would end first, by the true state of all workers, which no real scheduler
+//! can know).
 
 use crate::sampling::{draw, unit};
 use crate::scenario::Micros;
@@ -16,10 +18,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest ratio of a worker's own slots to the mean, where jobs go by key.
+/// The greatest allowed ratio of a worker's own slots to the mean under [`Policy::ByKey`].
 const LOAD_BOUND: f64 = 1.25;
 
-/// A policy that chooses workers.
+/// A policy for choosing the worker of an attempt.
 #[derive(
     Clone,
     Copy,
@@ -35,24 +37,24 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The scheduler's own module.
+    /// The scheduler's own decision module.
     Module,
-    /// Any worker.
+    /// A worker at random.
     Random,
-    /// One after another.
+    /// Each worker in turn.
     RoundRobin,
-    /// The fewest own slots in flight.
+    /// The worker with the fewest slots of this scheduler in flight.
     LeastOwn,
-    /// The fewer own slots of two drawn.
+    /// Of two random workers, the one with fewer slots of this scheduler in flight.
     TwoChoices,
-    /// By what the job is about, with a bound.
+    /// Consistent hashing of the job's subject, with bounded loads.
     ByKey,
-    /// Where it would end first, by the true state.
+    /// The worker on which the job would end first, by the true state of all workers.
     AllKnowing,
 }
 
 impl Policy {
-    /// All of them, the module first.
+    /// All policies, the module first.
     pub const ALL: [Policy; 7] = [
         Policy::Module,
         Policy::Random,
@@ -63,7 +65,7 @@
         Policy::AllKnowing,
     ];
 
-    /// Its name.
+    /// Name of the policy in reports.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Module => "module",
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Whether it sees the true state, which no scheduler can.
+    /// Whether the policy uses the true state of all workers, which no real scheduler knows.
     pub fn knows_all(self) -> bool {
         self == Policy::AllKnowing
     }
@@ -85,7 +87,7 @@
 /// An attempt of a job.
 struct SentAttempt {
     worker: WorkerId,
-    /// It has not ended.
+    /// Whether the attempt has not ended.
     open: bool,
 }
 
@@ -110,12 +112,13 @@
     jobs: FxHashMap<JobId, Job>,
     deadlines: BTreeSet<(Micros, JobId)>,
     turn: usize,
-    /// Where the job of the next input would end first, by the true state; for [`Policy::AllKnowing`].
+    /// The worker on which the job of the next input would end first, by the true state. The caller sets it before each input
+    /// for [`Policy::AllKnowing`]; `None` otherwise.
     pub best: Option<WorkerId>,
 }
 
 impl BaselineScheduler {
-    /// A scheduler of this policy, which answers jobs `answer_margin` microseconds before their clients' deadlines.
+    /// Creates a scheduler that answers jobs `answer_margin` microseconds before their clients' deadlines.
     pub fn new(policy: Policy, settings: Settings, seed: u64, answer_margin: Micros) -> Self {
         BaselineScheduler {
             policy,
@@ -131,12 +134,12 @@
         }
     }
 
-    /// When it must be stepped next.
+    /// When [`Self::step`] is due next; `None` without an open job.
     pub fn due(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Takes an input, and acts on it at once.
+    /// Handles an input and sends the resulting attempts and answers at once.
     pub fn handle(&mut self, now: Micros, input: CoreInput, transport: &dyn Transport) {
         match input {
             CoreInput::Job(request, until, _) => self.handle_job(now, request, until, transport),
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Does what is due: jobs whose time has passed fail.
+    /// Fails the jobs whose answer is due.
     pub fn step(&mut self, now: Micros, transport: &dyn Transport) {
         while let Some((_, id)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
             self.answer(id, Answer::Failed, transport);
@@ -213,7 +216,7 @@
         class.map_or(Effect::Unsafe, |class| class.effect)
     }
 
-    /// Whether a job may have one more attempt by its class and the settings.
+    /// Whether the job's class and the settings allow one more attempt.
     fn may_send(&self, now: Micros, job: &Job) -> bool {
         let may_repeat = match self.effect(job) {
             Effect::Safe => true,
@@ -224,7 +227,7 @@
         may_repeat && job.attempts.len() < limit && now < job.answer_by
     }
 
-    /// Sends an attempt to the worker of the policy's choice; where none is allowed, answers the job.
+    /// Sends an attempt to the worker that the policy chooses. If no attempt is allowed or no worker is left, answers the job.
     fn send_or_answer(&mut self, now: Micros, id: JobId, transport: &dyn Transport) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -260,7 +263,7 @@
         });
     }
 
-    /// Active workers of the kind that the job's class requires, without those that it was sent to already.
+    /// Returns the active workers of the kind that the job's class requires, except those that already had an attempt of it.
     fn candidates(&self, job: &Job) -> Vec<WorkerId> {
         let class = self.settings.classes.get(job.request.class as usize);
         let required_kind = class.and_then(|class| class.kind);
@@ -290,7 +293,7 @@
                 candidates[self.turn % count]
             }
             Policy::LeastOwn => {
-                // From a random position on, so that ties do not all fall to one worker.
+                // Starts at a random position, so that ties do not always go to the same worker.
                 let start = random_index(&mut self.rng);
                 let rotated = candidates[start..].iter().chain(&candidates[..start]);
                 *rotated.min_by(|a, b| own(a).total_cmp(&own(b)))?
@@ -319,7 +322,7 @@
         self.close(id, transport);
     }
 
-    /// Forgets a job; open attempts are cancelled where the settings allow it.
+    /// Removes a job and cancels its open attempts if the settings allow it.
     fn close(&mut self, id: JobId, transport: &dyn Transport) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -339,7 +342,7 @@
     }
 }
 
-/// The first worker in the subject's order that stays within the load limit; without one, the first.
+/// Returns the first worker in the subject's order that stays within the load limit, or the first of all if none does.
 fn bounded_load_choice(
     candidates: &[WorkerId],
     subject: u64,
--- a/crates/replay/src/check.rs
+++ b/crates/replay/src/check.rs
@@ -1,5 +1,5 @@
-//! The checkers of the platform's rules: one set for virtual time and sockets. They take observations of what happened, and
-//! know nothing of how a decision was made.
+//! Checks a run against the platform's rules, in virtual time and on sockets alike. The checker sees only observations of
+//! what happened, not how a scheduler decided.
 
 mod warm_up;
 
@@ -10,37 +10,37 @@
 use std::fmt;
 use warm_up::WarmUpLoad;
 
-/// Breaches that are described; more are only counted.
+/// Number of breaches that are described; further ones are only counted.
 const MAX_EXAMPLES: usize = 20;
-/// Jobs whose state is kept. Old ones that were answered are dropped beyond it: no attempt of theirs is expected any more.
+/// Number of jobs beyond which the state of old answered jobs is dropped: no further attempt of them is expected.
 const MAX_JOBS: usize = 400_000;
-/// Beyond [`MAX_JOBS`], old jobs are dropped whenever their number is a multiple of this.
+/// Beyond [`MAX_JOBS`], old jobs are dropped whenever the number of jobs is a multiple of this.
 const DROP_INTERVAL: usize = 1024;
 
-/// A job at one scheduler: one request of a client.
+/// Identifies a job at one scheduler, which is one request of a client.
 pub type Job = u64;
 
 #[allow(missing_docs, reason = "the fields say what they are")]
-/// Something that was observed. Observations come in order of time as far as one rule needs it.
+/// An event of a run. Events that one rule relates to each other arrive in order of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// A scheduler has accepted a request of this class, and owes a response until then.
+    /// A scheduler has accepted a request of this class and owes a response by `until`.
     RequestAccepted {
         job: Job,
         class: u32,
         at: Micros,
         until: Micros,
     },
-    /// The scheduler has sent the response.
+    /// The scheduler has sent its response to the client.
     RequestAnswered {
         job: Job,
         served: bool,
         refused: bool,
         at: Micros,
     },
-    /// The client no longer waits: no response is owed.
+    /// The client has stopped waiting: no response is owed.
     ClientLeft { job: Job },
-    /// A scheduler began to send an attempt to a worker; `work` is the job's at speed 1 times its slots.
+    /// A scheduler has begun to send an attempt to a worker; `work` is the job's running time at speed 1 times its slots.
     AttemptSent {
         job: Job,
         scheduler: u32,
@@ -48,9 +48,9 @@
         at: Micros,
         work: Micros,
     },
-    /// A worker has accepted an attempt and runs it, now or later.
+    /// A worker has accepted an attempt, which it starts now or later.
     AttemptAccepted { job: Job, worker: u32, at: Micros },
-    /// The worker has returned an accepted attempt, which never ran.
+    /// The worker has returned an accepted attempt without running it.
     AttemptReturned { job: Job },
     /// A worker has produced the job's result.
     ResultProduced { job: Job },
@@ -58,46 +58,46 @@
     AttemptEnded { job: Job },
     /// A scheduler has cancelled an attempt.
     AttemptCancelled { job: Job },
-    /// A scheduler has learned that a worker takes new work, or takes none.
+    /// A scheduler has learned whether a worker takes new attempts.
     AvailabilityReported {
         scheduler: u32,
         worker: u32,
         available: bool,
         at: Micros,
     },
-    /// A worker is warming up; `capacity` is the work that it does in a microsecond, from now on.
+    /// A worker is warming up; `capacity` is the work that it does per microsecond from now on.
     WarmingUp {
         worker: u32,
         at: Micros,
         capacity: f64,
     },
-    /// A scheduler has learned of the start after which a worker is warming up.
+    /// A scheduler has learned that a worker has restarted and is warming up.
     RestartReported { scheduler: u32, worker: u32 },
-    /// The worker is warm, or has ended.
+    /// The worker has finished warming up or has ended.
     WarmedUp { worker: u32 },
 }
 
-/// A rule. Its serialised names and its text are those of results that are stored.
+/// A rule of the platform. Stored results hold its serialised names and its `Display` texts, so neither may change.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// Each job gets one final response, in time.
     OneAnswer,
-    /// What is served is the result of a worker for that job.
+    /// A served response is a result that a worker produced for that job.
     #[serde(rename = "made")]
     ResultProduced,
-    /// A job that must not repeat runs once; a keyed one repeats in its window only.
+    /// An unsafe job runs at most once; a keyed job repeats only within its deduplication window.
     Repeats,
-    /// A refusal says that nothing took effect, or that a repeat does no harm.
+    /// A job is refused only if it had no effect or if a repeat is harmless.
     Refusal,
-    /// No more attempts than allowed.
+    /// A job has no more attempts than the scenario allows.
     Attempts,
-    /// No two attempts of a job at once, where that is not allowed.
+    /// A job has one attempt at a time unless the scenario allows speculative runs.
     #[serde(rename = "copies")]
     SpeculativeRuns,
-    /// Nothing new goes to a worker that drains or has ended.
+    /// No attempt is sent to a worker that is draining or has ended.
     Drain,
-    /// Workers that are warming up are not overloaded by all schedulers together.
+    /// The schedulers together do not overload a worker that is warming up.
     #[serde(rename = "cold")]
     WarmUp,
 }
@@ -118,35 +118,36 @@
 }
 
 impl fmt::Debug for Rule {
-    /// The command line prints breaches in this form.
+    /// Writes the same text as `Display`: the command line prints the map of breaches with `{:?}`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-/// What the checkers have found. Its serialised names are those of results that are stored.
+/// The result of the checks. Stored results hold its serialised names, so they may not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Breaches by rule.
+    /// Number of breaches by rule; rules without a breach are absent.
     pub breaches: BTreeMap<Rule, u64>,
-    /// Descriptions of the first breaches.
+    /// Descriptions of the first breaches, at most 20.
     pub examples: Vec<String>,
-    /// The most that was sent to a worker that was warming up in the stated window, in multiples of what it could do.
+    /// The greatest load on a worker that was warming up, over a sliding window of `tip-window-ms`, in multiples of the
+    /// worker's capacity.
     #[serde(rename = "most_on_cold")]
     pub peak_warm_up_load: f64,
-    /// The latest that something new went to a worker after its scheduler had learned that it takes none, in milliseconds.
+    /// The longest time between a scheduler learning that a worker takes no new attempts and sending it one, in milliseconds.
     #[serde(rename = "latest_after_told_ms")]
     pub latest_send_after_drain_ms: f64,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether all rules were kept.
     pub fn kept(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
-/// A job as the checkers know it.
+/// State of a job, from the observations so far.
 #[derive(Clone, Debug)]
 struct JobState {
     class: u32,
@@ -157,8 +158,9 @@
     attempts_sent: u32,
     /// Attempts that have neither ended nor been cancelled.
     attempts_open: u32,
-    /// Accepted attempts that were not returned, and when the first was accepted.
+    /// Accepted attempts that were not returned.
     runs: u32,
+    /// When the first of `runs` was accepted.
     first_run: Option<Micros>,
 }
 
@@ -186,14 +188,14 @@
 pub struct Checker<'a> {
     scenario: &'a Scenario,
     jobs: FxHashMap<Job, JobState>,
-    /// Since when a scheduler has known that a worker takes no new work.
+    /// When a scheduler learned that a worker takes no new attempts, by (scheduler, worker).
     draining_since: FxHashMap<(u32, u32), Micros>,
     warm_up: WarmUpLoad,
     verdict: Verdict,
 }
 
 impl<'a> Checker<'a> {
-    /// A checker without observations.
+    /// Creates a checker that has no observations yet.
     pub fn new(scenario: &'a Scenario) -> Self {
         Checker {
             scenario,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The slack on each limit, in microseconds.
+    /// Tolerance added to each time limit, in microseconds.
     fn slack(&self) -> Micros {
         self.scenario.rules.slack_ms * 1000
     }
@@ -222,7 +224,7 @@
         self.scenario.classes[class as usize].effect
     }
 
-    /// Takes an observation.
+    /// Updates the state and records each breach that the observation shows.
     #[allow(clippy::too_many_lines, reason = "an arm for each kind of observation")]
     pub fn observe(&mut self, observation: Observation) {
         match observation {
@@ -399,8 +401,8 @@
         }
     }
 
-    /// Drops the state of old jobs to which nothing is owed. The others are kept: an attempt after the answer would be a
-    /// breach.
+    /// Drops the state of old jobs that are owed no response. Newer jobs are kept after their response, as a further attempt
+    /// may still break a rule.
     fn drop_old_jobs(&mut self, newest: Job) {
         if self.jobs.len() > MAX_JOBS && self.jobs.len().is_multiple_of(DROP_INTERVAL) {
             self.jobs
@@ -408,7 +410,7 @@
         }
     }
 
-    /// Ends the run: jobs without an answer were lost.
+    /// Ends the run at `now` and returns the verdict. Each job that is still owed a response is a breach.
     pub fn finish(mut self, now: Micros) -> Verdict {
         let owed = self.jobs.iter().filter(|(_, state)| state.response_owed());
         let mut lost: Vec<(Job, Micros)> =
--- a/crates/replay/src/check/warm_up.rs
+++ b/crates/replay/src/check/warm_up.rs
@@ -4,24 +4,27 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 
-/// One attempt that was sent to a worker.
+/// An attempt that was sent to a worker.
 struct Sent {
     at: Micros,
+    /// Running time at speed 1 times slots, in microseconds.
     work: f64,
-    /// The part of `work` that came from a scheduler that knew of the start: all or nothing.
+    /// Equal to `work` if the sending scheduler knew of the worker's restart, otherwise 0.
     informed_work: f64,
 }
 
 /// A worker that is warming up.
 #[derive(Default)]
 struct WarmingWorker {
-    /// Work that it does in a microsecond.
+    /// Work that the worker does per microsecond.
     capacity: f64,
-    /// What was sent in the window, and its sums.
+    /// Attempts sent within the window, oldest first.
     sent: VecDeque<Sent>,
+    /// Sum of `work` over `sent`.
     work: f64,
+    /// Sum of `informed_work` over `sent`.
     informed_work: f64,
-    /// Schedulers that know of its start.
+    /// Schedulers that know of the worker's restart.
     informed_schedulers: BTreeSet<u32>,
 }
 
@@ -41,20 +44,20 @@
     }
 }
 
-/// What a send makes of the load on a worker.
+/// The load on a worker after an attempt was sent to it.
 pub(super) struct WarmUpVerdict {
-    /// Work in the window, in multiples of what the worker can do in it.
+    /// Work in the window, in multiples of what the worker can do in that time.
     pub(super) multiple: f64,
-    /// The rule is broken.
+    /// Whether the load breaks the rule.
     pub(super) overloaded: bool,
 }
 
 /// All workers that are warming up.
 pub(super) struct WarmUpLoad {
     window: Micros,
-    /// The rule allows so many times what a worker can do in the window.
+    /// Multiple of a worker's capacity that the rule allows within the window.
     allowed_multiple: f64,
-    /// Mean work of a job.
+    /// Mean work of a job, in microseconds at speed 1 times slots.
     mean_work: f64,
     workers: FxHashMap<u32, WarmingWorker>,
 }
@@ -69,27 +72,28 @@
         }
     }
 
-    /// A worker is warming up, and does so much work in a microsecond.
+    /// Sets the capacity of a worker that is warming up, in work per microsecond.
     pub(super) fn set_capacity(&mut self, worker: u32, capacity: f64) {
         self.workers.entry(worker).or_default().capacity = capacity;
     }
 
-    /// A scheduler knows of the start of a worker.
+    /// Records that a scheduler knows of a worker's restart. Ignored if the worker is not warming up.
     pub(super) fn add_informed_scheduler(&mut self, worker: u32, scheduler: u32) {
         if let Some(warming) = self.workers.get_mut(&worker) {
             warming.informed_schedulers.insert(scheduler);
         }
     }
 
-    /// A worker is warm.
+    /// Removes a worker that is warm or has ended.
     pub(super) fn remove(&mut self, worker: u32) {
         self.workers.remove(&worker);
     }
 
-    /// Records an attempt; `None` where the worker is not warming up.
+    /// Records an attempt and returns the resulting load, or `None` if the worker is not warming up.
     ///
-    /// A worker is overloaded at N + 3 roots of N + 3 jobs of mean work in the window, N being what the rule allows it
-    /// then, if over two thirds of that came from schedulers that knew of the start.
+    /// Let N be the number of jobs of mean work that the rule allows in the window. The worker is overloaded if the work in
+    /// the window exceeds N + 3 * sqrt(N) + 3 such jobs and more than two thirds of it came from schedulers that knew of the
+    /// restart.
     pub(super) fn record_send(
         &mut self,
         scheduler: u32,
--- a/crates/replay/src/cli.rs
+++ b/crates/replay/src/cli.rs
@@ -1,4 +1,4 @@
-//! What may be called, with its arguments.
+//! Subcommands and arguments of the command line. The doc comments are the help texts.
 
 use crate::survey_command;
 use clap::{Args, Parser, Subcommand};
@@ -6,16 +6,16 @@
 use indigofold_replay::virtual_time::Retries;
 use std::path::PathBuf;
 
-/// Recorded traffic, and the laboratory to play it in.
+/// Imports recorded traffic and replays it against emulated workers.
 ///
-/// Exit codes: 0 done; 1 it could not be done, and why is said; 2 the call was wrong; 3 a run broke a rule.
+/// Exit codes: 0 success; 1 failure, with the reason on standard error; 2 invalid arguments; 3 a run broke a rule.
 #[derive(Parser)]
 #[command(name = "indigofold-replay", version)]
 pub(crate) struct Cli {
     /// Print results as JSON.
     #[arg(long, global = true)]
     pub json: bool,
-    /// What is logged to standard error: error, warn, info, debug.
+    /// Least severe level that is logged to standard error: error, warn, info, debug.
     #[arg(long, global = true, default_value = "info")]
     pub log: tracing::Level,
     #[command(subcommand)]
@@ -24,41 +24,41 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Call {
-    /// Make a recording of HAR files and access logs.
+    /// Import HAR files and access logs into a recording.
     Import(Import),
-    /// Show what a recording holds.
+    /// Summarise a recording: rates, classes, parishes, statuses.
     Show {
         /// The recording.
         recording: PathBuf,
     },
-    /// Keep a stretch of time.
+    /// Keep the jobs of a time range.
     Cut {
         #[command(flatten)]
         files: Files,
-        /// Seconds after the first job.
+        /// Start of the range, in seconds after the first job.
         #[arg(long, default_value_t = 0.0)]
         from: f64,
-        /// Seconds after the first job.
+        /// End of the range (exclusive), in seconds after the first job.
         #[arg(long)]
         to: f64,
     },
-    /// Keep some classes and parishes.
+    /// Keep the jobs of the given classes and parishes.
     Filter {
         #[command(flatten)]
         files: Files,
-        /// A class to keep; may be named several times.
+        /// A class to keep; may be repeated. Without one, all classes are kept.
         #[arg(long)]
         class: Vec<String>,
-        /// A parish to keep; may be named several times.
+        /// A parish to keep; may be repeated. Without one, all parishes are kept.
         #[arg(long)]
         parish: Vec<String>,
     },
-    /// Make one recording of several, by time.
+    /// Merge recordings into one, ordered by time.
     Merge {
-        /// The recordings.
+        /// Recordings to merge.
         #[arg(required = true)]
         recordings: Vec<PathBuf>,
-        /// Where the result goes.
+        /// Output file; compressed if its name ends in .zst.
         #[arg(long, short)]
         out: PathBuf,
     },
@@ -66,48 +66,48 @@
     Scale {
         #[command(flatten)]
         files: Files,
-        /// So many times as much.
+        /// Factor by which the rate is multiplied; over 0 and up to 1000.
         #[arg(long)]
         by: f64,
-        /// Copies are turned round within stretches of so long.
+        /// Length in milliseconds of the time spans within which added jobs are shifted.
         #[arg(long, default_value_t = 1_000)]
         stretch_ms: i64,
-        /// Random numbers begin here.
+        /// Seed of the random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Add a jump of the rate.
+    /// Add a temporary jump of the rate.
     Jump(Jump),
-    /// Put keyed hashes in place of what names people and things.
+    /// Replace identifiers of people and objects by keyed hashes.
     Pseudonymise {
         #[command(flatten)]
         files: Files,
-        /// A file with the secret. The same secret gives the same names again.
+        /// File with the secret, of at least 16 characters. The same secret always gives the same hashes.
         #[arg(long)]
         secret: PathBuf,
-        /// Parishes too.
+        /// Replace the names of parishes as well.
         #[arg(long)]
         parishes: bool,
     },
-    /// Play the scenario's made load in virtual time, and keep the schedulers' access logs.
+    /// Play the scenario's generated load in virtual time and write the schedulers' access logs.
     Live(Live),
-    /// Play a recording in virtual time, or on sockets.
+    /// Play a recording in virtual time or on sockets.
     Replay(Replay),
-    /// Compare two results that `replay` or `live` have written with --json-out.
+    /// Compare two results that `replay` or `live` wrote with --json-out.
     Compare(Compare),
-    /// How well retries are folded, on traffic whose truth is known.
+    /// Measure how well recorded retries are matched to their first tries, on generated traffic where the right answer is known.
     FoldCheck {
-        /// The scenario.
+        /// The scenario file.
         scenario: PathBuf,
-        /// Seeds, from 1 on.
+        /// Number of seeds to play, starting at 1.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
     },
-    /// Draw deployments at random, play the module and plain policies on each, and show where the module loses.
+    /// Generate random deployments, play the module and the baseline policies on each, and show where the module loses.
     Survey(survey_command::Survey),
-    /// Print a published schema: of the mapping file or of the scenario file.
+    /// Print the JSON schema of the mapping file or of the scenario file.
     Schema {
-        /// Which.
+        /// File type whose schema is printed.
         of: SchemaOf,
     },
 }
@@ -120,9 +120,9 @@
 
 #[derive(Args)]
 pub(crate) struct Files {
-    /// The recording.
+    /// The recording to read.
     pub recording: PathBuf,
-    /// Where the result goes; compressed if its name ends in .zst.
+    /// Output file; compressed if its name ends in .zst.
     #[arg(long, short)]
     pub out: PathBuf,
 }
@@ -131,80 +131,80 @@
 pub(crate) struct Jump {
     #[command(flatten)]
     pub files: Files,
-    /// Seconds after the first job.
+    /// Start of the jump, in seconds after the first job.
     #[arg(long)]
     pub at: f64,
-    /// For so many seconds.
+    /// Length of the jump in seconds.
     #[arg(long = "for")]
     pub long: f64,
-    /// To so many times the usual.
+    /// Factor by which the rate is multiplied during the jump; over 0 and up to 1000.
     #[arg(long)]
     pub times: f64,
-    /// Rise and fall, in seconds each.
+    /// Length of the rise and of the fall, in seconds each.
     #[arg(long, default_value_t = 0.5)]
     pub edge: f64,
-    /// Random numbers begin here.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
 #[derive(Args)]
 pub(crate) struct Compare {
-    /// The scenario that both were played on.
+    /// The scenario file that both runs were played on.
     #[arg(long)]
     pub scenario: PathBuf,
-    /// A result.
+    /// Result of run A.
     pub a: PathBuf,
-    /// Another.
+    /// Result of run B.
     pub b: PathBuf,
-    /// Write a report here.
+    /// Write an HTML report to this file.
     #[arg(long)]
     pub report: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub(crate) struct Import {
-    /// HAR files, logs, recordings; plain, gzip or zstd. Rotated files may be named in any order.
+    /// HAR files, access logs or recordings; plain, gzip or zstd. Rotated files may be given in any order.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
-    /// The mapping file: what a record's class, parish, subject and key are.
+    /// The mapping file, which states how the class, parish, subject and key of a record are found.
     #[arg(long)]
     pub mapping: PathBuf,
-    /// Where the recording goes; compressed if its name ends in .zst.
+    /// Output file; compressed if its name ends in .zst.
     #[arg(long, short)]
     pub out: PathBuf,
     /// common, combined, nginx, envoy, json, har, recording, or apache:FORMAT, nginx:FORMAT, envoy:FORMAT with the
-    /// server's own format string. Without it each file's is found out.
+    /// server's own format string. Without it the format of each file is detected.
     #[arg(long)]
     pub format: Option<String>,
-    /// The first record that cannot be understood ends the import.
+    /// Fail at the first record that cannot be parsed.
     #[arg(long)]
     pub strict: bool,
-    /// A larger share of such records fails it.
+    /// Fail if a greater fraction of the records cannot be parsed.
     #[arg(long, default_value_t = 1.0)]
     pub max_bad: f64,
-    /// Random numbers begin here.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
 #[derive(Args)]
 pub(crate) struct Live {
-    /// The scenario.
+    /// The scenario file.
     pub scenario: PathBuf,
-    /// Random numbers begin here, in place of the scenario's.
+    /// Seed of the random numbers; the scenario's by default.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Where the logs go: one for each scheduler, with the mapping file.
+    /// Output folder: one log for each scheduler, and the mapping file.
     #[arg(long, short)]
     pub out: Option<PathBuf>,
-    /// The logs' format.
+    /// Format of the logs.
     #[arg(long, value_enum, default_value = "apache")]
     pub form: Form,
-    /// Share of lines that are lost.
+    /// Fraction of log lines that are lost.
     #[arg(long, default_value_t = 0.0)]
     pub lose: f64,
-    /// Share of lines that are damaged.
+    /// Fraction of log lines that are damaged.
     #[arg(long, default_value_t = 0.0)]
     pub damage: f64,
     #[command(flatten)]
@@ -213,23 +213,23 @@
 
 #[derive(Args)]
 pub(crate) struct Replay {
-    /// The scenario: schedulers, job workers, troubles.
+    /// The scenario file: schedulers, job workers, faults.
     pub scenario: PathBuf,
-    /// The recording; without one, the scenario's made load.
+    /// The recording; without one, the scenario's load is generated.
     pub recording: Option<PathBuf>,
-    /// Random numbers begin here, in place of the scenario's.
+    /// Seed of the random numbers; the scenario's by default.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// What becomes of recorded retries.
+    /// How recorded retries are treated.
     #[arg(long, value_enum, default_value = "model")]
     pub retries: Retries,
-    /// On sockets, with the real program, in place of virtual time.
+    /// Play on sockets with the scheduler program instead of in virtual time.
     #[arg(long)]
     pub sockets: bool,
-    /// The program, for --sockets.
+    /// The scheduler program, for --sockets.
     #[arg(long, default_value = "target/release/indigofold")]
     pub program: PathBuf,
-    /// Only so many seconds of it.
+    /// Play only the first seconds of the load.
     #[arg(long)]
     pub seconds: Option<f64>,
     #[command(flatten)]
@@ -238,10 +238,10 @@
 
 #[derive(Args)]
 pub(crate) struct Results {
-    /// Write a report here.
+    /// Write an HTML report to this file.
     #[arg(long)]
     pub report: Option<PathBuf>,
-    /// Write the whole result here, for `compare`.
+    /// Write the full result as JSON to this file, for `compare`.
     #[arg(long)]
     pub json_out: Option<PathBuf>,
 }
--- a/crates/replay/src/client.rs
+++ b/crates/replay/src/client.rs
@@ -1,27 +1,27 @@
-//! The client model: what a client does once it has a response. One draw decides for each job and retry, by number, so that
-//! two runs of one load meet the same clients.
+//! The client model: what a client does after a response. The random draws depend only on the seed, the job's number and the
+//! retry's number, so that clients behave alike in two runs of the same load.
 
 use crate::check::{Job, Observation};
 use crate::sampling::{draw, unit};
 use crate::scenario::{Clients, Effect, Micros};
 use crate::service::JobEnd;
 
-/// The purpose of the draws of whether a client follows Retry-After; the number of the retry is added.
+/// Purpose of the draws of whether a client follows Retry-After, for [`draw`]; the number of the retry is added.
 const RETRY_AFTER_DRAW: u64 = 0x00c1_1e47;
 
 /// A scheduler's response to a request, as its client understands it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// Served.
+    /// The job's result.
     Served,
-    /// Refused, with the time of Retry-After in microseconds (0: none).
+    /// Refused, with the Retry-After time in microseconds (0 if absent).
     Refused(Micros),
-    /// Failed.
+    /// The job failed.
     Failed,
 }
 
 impl ClientResponse {
-    /// The HTTP status of such a response.
+    /// HTTP status of the response.
     pub fn http_status(self) -> u16 {
         match self {
             ClientResponse::Served => 200,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What the checkers learn of such a response.
+    /// The observation that the checker receives for the response.
     pub fn observation(self, job: Job, at: Micros) -> Observation {
         Observation::RequestAnswered {
             job,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// How a job ends whose last response this is.
+    /// How a job ends if this is its last response.
     pub fn end_at(self, now: Micros) -> JobEnd {
         match self {
             ClientResponse::Served => JobEnd::Served(now),
@@ -50,8 +50,8 @@
     }
 }
 
-/// When a client sends the next retry after a response to its request number `retry` (0: the first try); `None`: never.
-/// `deadline_at` is when it stops waiting.
+/// Returns when a client sends its next retry after the response to its request number `retry` (0 is the first try), or
+/// `None` if it sends no more. `deadline_at` is when the client stops waiting.
 pub fn next_retry(
     clients: &Clients,
     effect: Effect,
@@ -67,7 +67,7 @@
     let retry_after = match response {
         ClientResponse::Served => return None,
         ClientResponse::Refused(retry_after) => retry_after,
-        // A retry might have a second effect, and a client that learns of a failure leaves it.
+        // The failed job may have had its effect, so a retry of an unsafe job could repeat it.
         ClientResponse::Failed if effect == Effect::Unsafe || !clients.after_failure => {
             return None;
         }
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -1,48 +1,48 @@
-//! The differences between two runs, with confidence intervals.
+//! Computes the differences between the metrics of two runs, with a confidence interval for the value earned.
 
 use crate::sampling::{draw, unit};
 use crate::service::{Outcome, Second};
 use crate::virtual_time::Run;
 use serde::{Deserialize, Serialize};
 
-/// Seconds that are drawn together, since neighbouring ones depend on each other.
+/// Block length of the bootstrap in seconds: neighbouring seconds are correlated, so they are resampled together.
 const BLOCK: usize = 10;
-/// Draws of the bootstrap.
+/// Number of bootstrap resamples.
 const DRAWS: u64 = 2_000;
 
-/// A metric of two runs.
+/// The values of a metric in two runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Its name.
+    /// Name of the metric.
     pub name: String,
-    /// In run A.
+    /// Value in run A.
     pub a: f64,
-    /// In run B.
+    /// Value in run B.
     pub b: f64,
-    /// B less A.
+    /// Difference: B minus A.
     pub by: f64,
-    /// An interval that holds the difference with 95%, where one can be given.
+    /// The 95% confidence interval of the difference; `None` if it is not computed for this metric or the runs are too short.
     pub interval: Option<[f64; 2]>,
 }
 
-/// All differences.
+/// The comparison of two runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The metrics.
+    /// All compared metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Difference>,
-    /// The difference in words.
+    /// Whether B earns more or less value than A, and which run breaks rules, in words.
     pub verdict: String,
 }
 
-/// The difference of the fractions of value earned, with an interval: seconds are paired, and blocks of them drawn anew
-/// (moving block bootstrap, Kuensch 1989).
+/// Returns the 95% confidence interval of the difference in the fraction of value earned, by resampling blocks of paired
+/// seconds (moving block bootstrap, Kuensch 1989). `None` if there are fewer than three blocks.
 fn paired(a: &[Second], b: &[Second], seed: u64) -> Option<[f64; 2]> {
     let n = a.len().min(b.len());
     if n < 3 * BLOCK {
         return None;
     }
-    // Sums up to each second, so that a block's sum is one difference.
+    // Prefix sums, so that the sum over a block is one subtraction.
     let sums = |of: &[Second]| {
         let mut sum = (0.0, 0.0);
         let mut all = vec![sum];
@@ -78,7 +78,7 @@
     Some([at(0.025), at(0.975)])
 }
 
-/// Collects differences.
+/// Collects the compared metrics.
 struct Differences(Vec<Difference>);
 
 impl Differences {
@@ -146,7 +146,7 @@
     }
 }
 
-/// The difference in words.
+/// Describes the comparison in words.
 fn verdict(a: &Run, b: &Run, interval: Option<[f64; 2]>) -> String {
     let verdict = match interval {
         Some([low, high]) if low > 0.0 => {
--- a/crates/replay/src/compare_command.rs
+++ b/crates/replay/src/compare_command.rs
@@ -1,4 +1,4 @@
-//! `compare`: what differs between the results of two runs.
+//! The `compare` command: prints and reports the differences between the results of two runs.
 
 use crate::Bad;
 use crate::cli::Compare;
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario cannot be played, or a survey not be made.
+//! Errors of playing scenarios and making surveys.
 
 use indigofold::config::ConfigError;
 use indigofold_traffic::document::DocumentError;
@@ -8,151 +8,151 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// Why a scenario cannot be played, or a survey not be made.
+/// An error of playing a scenario or making a survey.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReplayError {
-    /// A scenario has parts that are not allowed.
+    /// A scenario fails the checks beyond its schema.
     #[snafu(display("{}", errors.join("\n")))]
     Scenario {
-        /// Each thing that is wrong, with its place.
+        /// One text for each error, with its place in the file.
         errors: Vec<String>,
     },
-    /// A scenario's file cannot be read.
+    /// A scenario file does not match its schema.
     #[snafu(display("{source}"))]
     Document {
-        /// Each thing that is wrong, with its place.
+        /// All schema violations, each with its place in the file.
         source: DocumentError,
     },
-    /// The scheduler rejects the settings that follow from a scenario.
+    /// The scheduler rejects the settings derived from a scenario.
     #[snafu(display("{source}"))]
     Settings {
-        /// Why.
+        /// The scheduler's error.
         source: ConfigError,
     },
-    /// Load is to be made, and the scenario does not say how much.
+    /// Load is to be generated and the scenario states no rate or no duration.
     #[snafu(display("at /load: 'rate' and 'seconds' must be over 0 for load that is made"))]
     NoLoad,
-    /// Subjects cannot be drawn as the scenario says.
+    /// The scenario's distribution of subjects is invalid.
     #[snafu(display("at /clients/zipf: {source}"))]
     Subjects {
-        /// Why.
+        /// The invalid parameter.
         source: rand_distr::ZipfError,
     },
-    /// Running times of a class cannot be drawn as the scenario says.
+    /// A class's distribution of running times is invalid.
     #[snafu(display("class {class:?}: {reason}"))]
     RunTimes {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// Why, as the library says it.
+        /// The invalid parameter, in the words of `rand_distr`.
         reason: String,
     },
     /// The recording is damaged.
     #[snafu(display("{source}"))]
     Recording {
-        /// Where and how.
+        /// The damaged line and the reason.
         source: RecordingError,
     },
-    /// A recorded job is of a class that the scenario does not have.
+    /// A recorded job's class is not in the scenario.
     #[snafu(display("class {class:?} of the recording is none of the scenario's: {}", allowed.join(", ")))]
     UnknownClass {
-        /// Its class.
+        /// The job's class.
         class: String,
-        /// Those of the scenario.
+        /// Names of the scenario's classes.
         allowed: Vec<String>,
     },
-    /// The scenario has parts that are played in virtual time only.
+    /// The scenario uses features that sockets do not support.
     #[snafu(display(
         "at /machines: 'things', 'cancel' and 'copies' are played in virtual time only"
     ))]
     VirtualTimeOnly,
-    /// A stand-in cannot be opened.
+    /// An emulated worker or the emulated discovery service cannot be opened.
     #[snafu(display("{stand_in}: {source}"))]
     StandIn {
-        /// Which.
+        /// Which one.
         stand_in: &'static str,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// No port is free for a scheduler.
     #[snafu(display("{source}"))]
     NoPort {
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A file or a program cannot be used.
+    /// A file cannot be read or written, or a program cannot be started.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// Its path.
+        /// Path of the file or program.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// A scheduler is not ready in time.
     #[snafu(display("a scheduler was not ready within {within:?}; its last lines: {log:#?}"))]
     NotReady {
-        /// The time that it had.
+        /// Time limit for becoming ready.
         within: Duration,
         /// The last lines of its log.
         log: Vec<String>,
     },
-    /// A scheduler ended before its time.
+    /// A scheduler process exited during the run.
     #[snafu(display("a scheduler ended while it was needed: {status}"))]
     SchedulerEnded {
-        /// How.
+        /// Exit status of the process.
         status: ExitStatus,
     },
-    /// Recorded retries cannot be folded.
+    /// Sorting the records for the folding of retries failed.
     #[snafu(display("{source}"))]
     Fold {
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A row cannot be written as JSON.
+    /// A row of a survey cannot be written as JSON.
     #[snafu(display("{source}"))]
     Row {
-        /// Why.
+        /// The serialisation error.
         source: serde_json::Error,
     },
     /// A deployment of a survey cannot be played.
     #[snafu(display("deployment {number}, {policy}: {source}"))]
     Deployment {
-        /// Its number.
+        /// Number of the deployment.
         number: u64,
-        /// The policy.
+        /// Name of the policy that was played.
         policy: String,
-        /// Why.
+        /// Why the run failed.
         source: Box<ReplayError>,
     },
-    /// A file is no survey.
+    /// An existing file is not a survey and is not overwritten.
     #[snafu(display("{}: it is no survey; name another file", path.display()))]
     NoSurvey {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// A file holds the rows of another plan.
+    /// A file holds the rows of a survey with another plan.
     #[snafu(display("{}: it holds another survey (seed {seed}, {runs} runs, version {version}); name another file", path.display()))]
     OtherSurvey {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
         /// Seed of the other plan.
         seed: u64,
-        /// Its runs.
+        /// Runs of the other plan.
         runs: u32,
-        /// The version that made it.
+        /// Version of the survey that wrote the file.
         version: u32,
     },
     /// A plan has too few or too many runs.
     #[snafu(display("{runs} runs given, {fewest} to {most} are allowed"))]
     Runs {
-        /// Those given.
+        /// Requested number of runs.
         runs: u32,
-        /// The fewest allowed.
+        /// Smallest allowed number.
         fewest: u32,
-        /// The most allowed.
+        /// Largest allowed number.
         most: u32,
     },
-    /// A plan has nothing to compare the module with.
+    /// A plan does not hold the module and at least one more policy.
     #[snafu(display("the module and one more policy at least are wanted"))]
     NoComparison,
 }
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,4 +1,5 @@
-//! Access logs as the schedulers would have written them in a run: the only thing that is kept of a "live" hour.
+//! Writes access logs as the schedulers would have written them in a run. A `live` run keeps no other record of its traffic,
+//! so a replay of it starts from what such logs hold.
 
 use crate::scenario::{Effect, Micros, Scenario};
 use crate::virtual_time::LoggedRequest;
@@ -8,7 +9,7 @@
 use serde_json::json;
 use std::io::{self, Write};
 
-/// A log format that can be written.
+/// The format of a written log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Form {
     /// Combined Log Format: seconds, no durations, no headers.
@@ -36,7 +37,7 @@
 );
 
 impl Form {
-    /// What the importer calls it.
+    /// Returns the importer's name of the format.
     pub fn name(self) -> String {
         match self {
             Form::Combined => "combined".into(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A file name's ending.
+    /// Returns the file name extension.
     pub fn ending(self) -> &'static str {
         match self {
             Form::Har => "har",
@@ -59,13 +60,13 @@
 /// Fractions of log lines that are lost and damaged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogDamage {
-    /// Lost.
+    /// Fraction of lines that are missing from the log.
     pub lost: f64,
-    /// Cut, overwritten, or mixed with another.
+    /// Fraction of lines that are truncated, partly overwritten or partly repeated.
     pub damaged: f64,
 }
 
-/// Writes one scheduler's log.
+/// Writes the log of one scheduler.
 pub struct Log<W: Write> {
     form: Form,
     out: W,
@@ -75,7 +76,7 @@
     rng: Pcg64Mcg,
 }
 
-/// The address of a parish's client.
+/// Returns the IP address of a client of a parish.
 pub fn address(parish: u32, office: u32) -> String {
     format!(
         "10.{}.{}.{}",
@@ -85,12 +86,12 @@
     )
 }
 
-/// The second byte of the addresses of a parish's clients.
+/// Returns the second byte of the addresses of a parish's clients.
 fn network(parish: u32) -> u32 {
     4 + parish % 200
 }
 
-/// A name for one try of a job: new on every request.
+/// Returns the trace ID of one try of a job, which differs between tries.
 fn trace(number: u64, tried: u32) -> String {
     format!(
         "{:016x}",
@@ -98,22 +99,22 @@
     )
 }
 
-/// What the log formats hold of a request.
+/// The data of a request that the log formats hold.
 struct LogEntry {
     from: Micros,
     to: Micros,
     address: String,
     target: String,
-    /// `None`: the client left.
+    /// `None` if the client left before the response.
     status: Option<u16>,
-    /// Size of the response's body.
+    /// Size of the response body in bytes.
     bytes: u32,
     trace: String,
-    /// In the order of [`HEADERS`]; `-` for none.
+    /// Values of [`HEADERS`], in their order; `-` if absent.
     headers: [String; 6],
 }
 
-/// The request headers that logs hold.
+/// The request headers that are logged.
 const HEADERS: [&str; 6] = [
     "X-Customer",
     "X-Trace-Id",
@@ -122,7 +123,7 @@
     "X-Expires-In-Ms",
     "X-Props",
 ];
-/// The status that servers write where the client has left, as nginx does.
+/// The status that nginx logs if the client left before the response.
 const CLIENT_CLOSED_REQUEST: u16 = 499;
 
 impl LogEntry {
@@ -160,7 +161,7 @@
         self.to - self.from
     }
 
-    /// Request line, status and size, as the text formats write them.
+    /// Returns request line, status and size in the notation of the text formats.
     fn request(&self) -> String {
         let LogEntry { target, bytes, .. } = self;
         let status = self.status.unwrap_or(CLIENT_CLOSED_REQUEST);
@@ -231,10 +232,10 @@
 }
 
 impl<W: Write> Log<W> {
-    /// Begins a log. Lines are lost and damaged by chance, from a seed.
+    /// Starts a log. Which lines are lost or damaged is drawn from `seed`.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Writing to the output failed.
     pub fn new(form: Form, mut out: W, damage: LogDamage, seed: u64) -> io::Result<Self> {
         if form == Form::Har {
             out.write_all(
@@ -252,10 +253,10 @@
         })
     }
 
-    /// Writes a try.
+    /// Writes the line or HAR entry of a request.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Writing to the output failed.
     pub fn write(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> io::Result<()> {
         let text = self.render(scenario, t);
         let draw = crate::sampling::unit(&mut self.rng);
@@ -264,7 +265,7 @@
         }
         let mut bytes = text.into_bytes();
         if draw < self.damage.lost + self.damage.damaged {
-            // Cut, overwritten, or run into itself: in equal shares.
+            // Truncated, overwritten with zeros, or with its beginning repeated: a third each.
             let at = (crate::sampling::unit(&mut self.rng) * bytes.len() as f64) as usize;
             match (draw * 1e6) as u64 % 3 {
                 0 => bytes.truncate(at),
@@ -284,10 +285,10 @@
         self.out.write_all(b"\n")
     }
 
-    /// Ends the log.
+    /// Finishes the log: closes the HAR document and flushes.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Writing to the output failed.
     pub fn finish(mut self) -> io::Result<()> {
         if self.form == Form::Har {
             self.out.write_all(b"]}}\n")?;
@@ -326,7 +327,7 @@
     format!("{stamp:.3}")
 }
 
-/// The mapping file that goes with such logs.
+/// Returns the mapping file for importing logs of this format.
 pub fn mapping(scenario: &Scenario, form: Form) -> serde_json::Value {
     let networks: serde_json::Map<_, _> = scenario
         .parishes
@@ -344,7 +345,7 @@
         .iter()
         .map(|c| (c.name.clone(), c.deadline_ms.into()))
         .collect();
-    // Only what is a class: a damaged line names others.
+    // Only known classes are mapped, as damaged lines hold other names.
     let classes: serde_json::Map<_, _> = scenario
         .classes
         .iter()
@@ -365,7 +366,7 @@
         to.extend(rest);
     }
     if form == Form::Envoy {
-        // Envoy's default format names who asked in X-Forwarded-For alone, and no peer.
+        // Envoy's default format logs the client's address only in X-Forwarded-For, and no peer address.
         mapping["parish"] = json!([{"from": "network"}]);
     }
     mapping
--- a/crates/replay/src/files.rs
+++ b/crates/replay/src/files.rs
@@ -1,4 +1,4 @@
-//! Opening and creating files, and the progress bar of long work.
+//! Opens and creates files, and creates progress bars.
 
 use crate::Bad;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A progress bar, hidden where standard error is no terminal.
+/// Returns a progress bar, hidden if standard error is not a terminal.
 pub(crate) fn bar(length: u64, of: &'static str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
@@ -32,7 +32,7 @@
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-/// When a recording's first job was sent.
+/// Returns when a recording's first job was sent, in microseconds since 1970.
 pub(crate) fn first_time(path: &Path) -> Result<i64, Bad> {
     Ok(open(path)?
         .next()
@@ -41,7 +41,8 @@
         .at)
 }
 
-/// Creates a file under a temporary name: the caller renames it once it is complete.
+/// Creates a file under a temporary name and returns its writer and that name. The caller renames it once it is complete.
+/// The writer compresses if `path` ends in `.zst`.
 pub(crate) fn create(path: &Path) -> Result<(Box<dyn Write>, PathBuf), Bad> {
     let unfinished = path.with_extension(format!("part-{}", std::process::id()));
     let file = File::create(&unfinished).map_err(|e| format!("{}: {e}", unfinished.display()))?;
--- a/crates/replay/src/folding_command.rs
+++ b/crates/replay/src/folding_command.rs
@@ -1,4 +1,4 @@
-//! `fold-check`: how well retries are folded on traffic whose truth is known.
+//! The `fold-check` command: measures the folding of retries on generated traffic whose retries are known.
 
 use crate::Bad;
 use crate::play_command::read_scenario;
--- a/crates/replay/src/import_command.rs
+++ b/crates/replay/src/import_command.rs
@@ -1,4 +1,4 @@
-//! `import`: a recording made of HAR files and access logs.
+//! The `import` command: converts HAR files and access logs into a recording.
 
 use crate::Bad;
 use crate::cli::Import;
@@ -18,7 +18,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Between two updates of the progress bar.
+/// Time between two updates of the progress bar.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) fn import_files(args: &Import, json: bool) -> Result<ExitCode, Bad> {
@@ -55,7 +55,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The format of the command line; `None`: each file's is detected.
+/// Parses the format argument; `None` means that the format of each file is detected.
 fn log_format(name: Option<&str>, mapping: &Mapping) -> Result<Option<Kind>, Bad> {
     Ok(match name {
         None => None,
@@ -79,7 +79,7 @@
 }
 
 impl Progress {
-    /// `read` is the number of bytes that were read of the files.
+    /// Starts the progress bar; `read` is the number of bytes of the files read so far.
     fn start(files: &[PathBuf], read: Arc<AtomicU64>) -> Self {
         let sizes = files.iter().filter_map(|file| file.metadata().ok());
         let bar = bar(sizes.map(|m| m.len()).sum(), "reading");
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,9 +1,9 @@
 //! Replays of recorded or generated traffic against emulated workers.
 //!
 //! A [`scenario`] describes the deployment, the load and the faults. [`virtual_time`] plays it with the scheduler's own engine
-//! and module in virtual time, [`sockets`] on loopback with the real program as child processes. Both share the workers
-//! ([`worker`], [`object_store`]), the clients ([`client`]), the checkers of the rules ([`check`]) and the metrics ([`service`]).
-//! [`survey`] draws deployments at random and compares the module with the policies of [`baseline`] on them.
+//! and decision module in virtual time, [`sockets`] on loopback with the scheduler program as child processes. Both share the
+//! workers ([`worker`], [`object_store`]), the clients ([`client`]), the rule checkers ([`check`]) and the metrics
+//! ([`service`]). [`survey`] generates random deployments and compares the module with the policies of [`baseline`] on them.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -2,7 +2,7 @@
 
 #![forbid(unsafe_code)]
 
-/// Prints a line; an error of a closed pipe is ignored.
+/// Prints a line to standard output and ignores write errors, such as a closed pipe.
 macro_rules! say {
     ($($text:tt)*) => {{ let _ = writeln!(std::io::stdout(), $($text)*); }};
 }
--- a/crates/replay/src/object_store.rs
+++ b/crates/replay/src/object_store.rs
@@ -1,24 +1,24 @@
-//! Objects that jobs need and workers cache: tables, a model, a customer's data. A worker keeps a few of them, evicts the
-//! least recently used, and fetches what it lacks from one store for all, while the job holds its slots.
+//! Objects that jobs need and workers cache, such as tables, a model or a customer's data. A worker caches a few of them,
+//! evicts the least recently used, and fetches missing ones from a store shared by all workers while the job holds its slots.
 //!
-//! The store serves some fetches at once at full speed. A fetch that begins while more are in flight takes longer in
-//! proportion; how long is fixed as it begins.
+//! The store serves a limited number of concurrent fetches at full speed. A fetch that starts while more are in flight takes
+//! proportionally longer; its duration is fixed when it starts.
 
 use crate::scenario::Micros;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The store of all workers.
+/// The store that all workers fetch from.
 #[derive(Debug)]
 pub struct ObjectStore {
-    /// Fetches at once at full speed.
+    /// Number of concurrent fetches that are served at full speed.
     concurrency: f64,
-    /// When each fetch in flight ends.
+    /// End time of each fetch in flight.
     in_flight: Vec<Micros>,
     fetches: u64,
 }
 
 impl ObjectStore {
-    /// A store that serves `concurrency` fetches at once at full speed.
+    /// Creates a store that serves `concurrency` concurrent fetches at full speed.
     pub fn new(concurrency: f64) -> Self {
         ObjectStore {
             concurrency: concurrency.max(0.01),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Begins a fetch that takes `alone` microseconds by itself, and returns how long it takes now.
+    /// Starts a fetch that takes `alone` microseconds at full speed. Returns its duration under the current load.
     pub fn begin_fetch(&mut self, now: Micros, alone: Micros) -> Micros {
         self.in_flight.retain(|ends| *ends > now);
         let slowdown = ((self.in_flight.len() + 1) as f64 / self.concurrency).max(1.0);
@@ -37,17 +37,17 @@
         takes
     }
 
-    /// Fetches so far.
+    /// Number of fetches so far.
     pub fn fetches(&self) -> u64 {
         self.fetches
     }
 }
 
-/// An object in a cache.
+/// An object in a worker's cache.
 #[derive(Clone, Copy, Debug)]
 struct CachedObject {
     id: u64,
-    /// When its fetch ends.
+    /// When the fetch of the object ends.
     available_at: Micros,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl ObjectCache {
-    /// An empty cache for `capacity` objects.
+    /// Creates an empty cache for `capacity` objects, at least one.
     pub fn new(store: Arc<Mutex<ObjectStore>>, capacity: usize) -> Self {
         ObjectCache {
             store,
@@ -75,7 +75,8 @@
         self.objects.iter().any(|object| object.id == id)
     }
 
-    /// Uses an object, and returns the microseconds until it is available. A fetch takes `alone` by itself.
+    /// Marks an object as used, and fetches it if it is missing. Returns the microseconds until it is available. `alone` is the
+    /// duration of a fetch at full speed, in microseconds.
     pub fn access(&mut self, now: Micros, id: u64, alone: Micros) -> Micros {
         let position = self.objects.iter().position(|object| object.id == id);
         let object = match position {
@@ -86,7 +87,7 @@
         object.available_at.saturating_sub(now)
     }
 
-    /// Fetches an object, and evicts another where the cache is full.
+    /// Starts the fetch of an object, and evicts the least recently used one if the cache is full.
     fn fetch(&mut self, now: Micros, id: u64, alone: Micros) -> CachedObject {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         let takes = store.begin_fetch(now, alone);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A new process has an empty cache.
+    /// Empties the cache, as when the worker's process restarts.
     pub fn clear(&mut self) {
         self.objects.clear();
     }
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -1,4 +1,4 @@
-//! `live` and `replay`: a scenario played, and its results.
+//! The `live` and `replay` commands: play a scenario, and print and store the results.
 
 use crate::Bad;
 use crate::cli::{Live, Replay, Results};
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// The exit code where a run broke a rule.
+/// Exit code of a run that broke a rule.
 const RULES_BROKEN: u8 = 3;
 
 pub(crate) fn read_scenario(path: &Path) -> Result<Scenario, Bad> {
@@ -169,7 +169,7 @@
     say!("in time, late, refused, failed: {:?}", o.ends);
 }
 
-/// Prints what the checkers found, and how late the generator was.
+/// Prints the verdict on the rules and the lateness of the load generator.
 fn print_verdict(run: &Run) {
     say!(
         "most on a cold job worker: {:.2} times what it can do",
--- a/crates/replay/src/recording_commands.rs
+++ b/crates/replay/src/recording_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that show, change and merge recordings.
+//! The commands that show, transform and merge recordings.
 
 use crate::Bad;
 use crate::cli::{Files, Jump};
@@ -12,11 +12,11 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The greatest factor of a rate.
+/// The greatest factor by which a rate can be scaled.
 const MAX_FACTOR: f64 = 1_000.0;
-/// Added jobs of a jump are spread within stretches of this length, in microseconds.
+/// Length of the time spans within which the added jobs of a jump are shifted, in microseconds.
 const JUMP_STRETCH_US: i64 = 100_000;
-/// In characters.
+/// The shortest accepted secret for pseudonyms, in bytes.
 const MIN_SECRET_LENGTH: usize = 16;
 
 pub(crate) fn show(path: &Path, json: bool) -> Result<(), Bad> {
@@ -66,7 +66,8 @@
 
 type Jobs<'a> = Box<dyn Iterator<Item = Job> + 'a>;
 
-/// Jobs of a recording; the first error ends them and is kept.
+/// Returns the header and the jobs of a recording. The first read error ends the iterator and is stored in `failed`, which
+/// the caller checks after the last job.
 fn jobs(path: &Path, failed: &Rc<RefCell<Option<String>>>) -> Result<(Header, Jobs<'static>), Bad> {
     let reader = open(path)?;
     let (header, failed) = (reader.header.clone(), failed.clone());
@@ -135,7 +136,7 @@
     )
 }
 
-/// Keeps what was sent between two times, in seconds after the first job.
+/// Keeps the jobs sent between two times, in seconds after the first job.
 pub(crate) fn keep_time_span(files: &Files, from: f64, to: f64, json: bool) -> Result<(), Bad> {
     let first = first_time(&files.recording)?;
     let at = |seconds: f64| first + microseconds(seconds);
@@ -144,7 +145,7 @@
     })
 }
 
-/// Scales the rate by a factor, within stretches of so many milliseconds.
+/// Scales the rate by a factor; added jobs are shifted within spans of `stretch_ms`.
 pub(crate) fn scale(
     files: &Files,
     by: f64,
@@ -161,7 +162,7 @@
     })
 }
 
-/// Adds a jump of the rate.
+/// Multiplies the rate during a time span.
 pub(crate) fn jump(args: &Jump, json: bool) -> Result<(), Bad> {
     if !(args.times > 0.0 && args.times <= MAX_FACTOR) {
         return Err("--times must be over 0 and up to 1000".into());
@@ -178,7 +179,7 @@
     })
 }
 
-/// Replaces what names people and things by keyed hashes.
+/// Replaces identifiers of people and objects by keyed hashes.
 pub(crate) fn pseudonymise(
     files: &Files,
     secret: &Path,
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: one self-contained HTML page, with plots as SVG.
+//! Renders reports: a self-contained HTML page with SVG plots.
 
 use crate::compare::Comparison;
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -11,7 +11,7 @@
 
 const PAGE: &str = include_str!("report.html");
 const SIZE: (u32, u32) = (960, 260);
-/// Points of a line at most: an hour is drawn in some hundreds.
+/// Greatest number of points of a line; longer runs are averaged in chunks of several seconds.
 const POINTS: usize = 360;
 const COLOURS: [RGBColor; 4] = [
     RGBColor(31, 90, 150),
@@ -22,16 +22,16 @@
 
 type Bad = Box<dyn std::error::Error>;
 
-/// A line of a plot.
+/// A named line of a plot; points are (second, value).
 struct Series {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// The seconds of the compared runs, in chunks that one point of a plot stands for.
+/// The seconds of the runs in chunks; each chunk is one point of a plot.
 struct Chunks<'a> {
     runs: &'a [(&'a str, &'a Run)],
-    /// Seconds in a chunk.
+    /// Length of a chunk in seconds.
     step: usize,
 }
 
@@ -42,7 +42,7 @@
         Chunks { runs, step }
     }
 
-    /// A value of each chunk, by run.
+    /// Returns one series for each run, with the value of each chunk.
     fn series(&self, value: impl Fn(&[Second]) -> f64) -> Vec<Series> {
         let series = |(name, run): &(&str, &Run)| {
             let chunks = run.outcome.seconds.chunks(self.step).enumerate();
@@ -56,7 +56,7 @@
         self.runs.iter().map(series).collect()
     }
 
-    /// The mean of a count in a second of each chunk, by run.
+    /// Returns one series for each run, with the mean per second of a count in each chunk.
     fn rates(&self, count: impl Fn(&Second) -> u32) -> Vec<Series> {
         self.series(|chunk| sum(chunk, |s| f64::from(count(s))) / chunk.len() as f64)
     }
@@ -66,7 +66,7 @@
     chunk.iter().map(value).sum()
 }
 
-/// The fraction of the value earned in a chunk.
+/// Returns the fraction of the value earned in a chunk; 1 without jobs.
 fn earned_fraction(chunk: &[Second]) -> f64 {
     let offered = sum(chunk, |s| s.offered);
     if offered > 0.0 {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The mean time to the answer in a chunk, in milliseconds.
+/// Returns the mean latency of served jobs in a chunk, in milliseconds; 0 without served jobs.
 fn mean_time_ms(chunk: &[Second]) -> f64 {
     let served = sum(chunk, |s| f64::from(s.ends[0] + s.ends[1]));
     if served > 0.0 {
@@ -86,7 +86,7 @@
     }
 }
 
-/// All plots of a report, each with its title.
+/// Draws all plots of a report. Returns the title and the SVG of each.
 fn plots(scenario: &Scenario, runs: &[(&str, &Run)]) -> Result<Vec<(&'static str, String)>, Bad> {
     let chunks = Chunks::new(runs);
     let shaded = shaded_spans(scenario);
@@ -118,10 +118,10 @@
     Ok(plots)
 }
 
-/// The page for one run, or for two that are compared.
+/// Renders the report of one run, or of two runs with their comparison.
 ///
 /// # Errors
-/// A plot cannot be drawn.
+/// A plot cannot be drawn or the template cannot be rendered.
 pub fn page(
     scenario: &Scenario,
     title: &str,
@@ -152,7 +152,7 @@
     Ok(text)
 }
 
-/// An outcome without its seconds, which the plots show.
+/// Returns an outcome without its seconds, which only the plots need.
 fn summary(outcome: &Outcome) -> Outcome {
     Outcome {
         seconds: Vec::new(),
@@ -183,7 +183,7 @@
     )
 }
 
-/// The times of faults and jumps of the load.
+/// Returns the time spans of faults and load jumps, in seconds, which the plots shade.
 fn shaded_spans(scenario: &Scenario) -> Vec<Range<f64>> {
     let faults = scenario.faults.iter().map(|f| f.at_s..f.at_s + f.for_s);
     let jumps = scenario.load.jumps.iter();
@@ -192,7 +192,8 @@
         .collect()
 }
 
-/// A plot of lines over time; without a range, from 0 to above the greatest value.
+/// Draws lines over time as SVG. Without a `range`, the vertical axis goes from 0 to 10% above the greatest value, at
+/// least to 1.
 fn chart(
     lines: &[Series],
     range: Option<Range<f64>>,
@@ -242,7 +243,7 @@
     Ok(svg)
 }
 
-/// Jobs begun by worker and time: the darker, the more.
+/// Draws the jobs started by each worker over time as SVG; darker cells are more jobs.
 fn heat_map(run: &Run, name: &str, step: usize) -> Result<String, Bad> {
     let mut svg = String::new();
     {
--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -1,4 +1,5 @@
-//! How well retries are folded: traffic is made whose truth is known, and what identifies a retry is removed step by step.
+//! Measures how well retries are folded into their jobs. Generated traffic, whose retries are known, is imported with more and
+//! more of the information removed that identifies a retry.
 
 use crate::error::{FoldSnafu, ReplayError};
 use crate::load::Made;
@@ -13,14 +14,14 @@
 use snafu::ResultExt;
 use std::sync::Arc;
 
-/// The result for one kind of records.
+/// The folding quality for one kind of records.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// What the records hold.
+    /// Name of the kind: the identifying fields and the time resolution of its records.
     pub by: String,
-    /// Retries that there were.
+    /// Actual number of retries.
     pub retries: u64,
-    /// Records that were folded.
+    /// Number of records that were folded into a job.
     pub folded: u64,
     /// Fraction of folded records that were folded with a record of the same job.
     pub precision: f64,
@@ -28,12 +29,12 @@
     pub recall: f64,
 }
 
-/// What records hold that tells retries from first tries.
+/// A kind of records: the information that distinguishes retries from first tries.
 struct RecordKind {
     name: &'static str,
     has_key: bool,
     retries_marked: bool,
-    /// How exactly its time is known.
+    /// Resolution of the recorded time in microseconds.
     resolution_us: Micros,
 }
 
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A record as a log of this kind has it.
+    /// Returns the record with only the information that a log of this kind holds.
     fn reduce(&self, record: &Attempt) -> Attempt {
         let mut record = record.clone();
         if !self.has_key {
@@ -73,18 +74,18 @@
     RecordKind::new("neither, 1 s", false, false, 1_000_000),
 ];
 
-/// A record, and the number of the job that it is of.
+/// A record with the number of the job that it belongs to.
 struct LabelledRecord {
     record: Attempt,
     job: u64,
 }
 
-/// Counts of one kind of records.
+/// Folding counts of one kind of records.
 #[derive(Clone, Copy, Default)]
 struct FoldCounts {
     retries: u64,
     folded: u64,
-    /// Folded with a record of the same job.
+    /// Number of folded records that belong to the job they were folded into.
     correct: u64,
 }
 
@@ -106,10 +107,10 @@
     }
 }
 
-/// Checks a scenario's traffic over seeds.
+/// Plays a scenario with the seeds from 1 to `seeds` and returns the folding quality for each kind of records.
 ///
 /// # Errors
-/// The scenario cannot be played.
+/// The scenario cannot be played, or the records cannot be sorted.
 pub fn check(scenario: &Scenario, seeds: u64) -> Result<Vec<Row>, ReplayError> {
     let mut counts = [FoldCounts::default(); RECORD_KINDS.len()];
     for seed in 1..=seeds {
@@ -122,7 +123,7 @@
     Ok(rows.map(|(kind, counts)| counts.row(kind)).collect())
 }
 
-/// Plays a scenario, and records each request of its clients.
+/// Plays a scenario and returns a labelled record of each client request.
 fn play(scenario: &Scenario, seed: u64) -> Result<Vec<LabelledRecord>, ReplayError> {
     let classes: Vec<Arc<str>> = scenario
         .classes
@@ -156,7 +157,7 @@
     Ok(records)
 }
 
-/// A request as the importer would read it from a log.
+/// Returns a request as the importer would read it from a log.
 fn job_of(
     request: &LoggedRequest<'_>,
     class: Arc<str>,
@@ -182,7 +183,7 @@
     }
 }
 
-/// Folds records reduced to a kind, and compares the result with the truth.
+/// Folds the records, reduced to a kind, and compares the result with the labels.
 fn fold(
     scenario: &Scenario,
     records: &[LabelledRecord],
@@ -199,7 +200,7 @@
         id_kept: false,
         marks: kind.retries_marked,
     };
-    // Which record a request in a folded job was is known by its time after spreading.
+    // A folded job keeps only the times of its requests, so the labels are looked up by the time after spreading.
     let mut truth: FxHashMap<Micros, u64> = FxHashMap::default();
     let mut folded: Vec<Job> = Vec::new();
     let (mut folder, mut tally) = (Folder::new(rules), Tally::default());
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -9,18 +9,18 @@
 use indigofold_traffic::document;
 use snafu::ResultExt;
 
-/// Microseconds.
+/// A time since 1970 or a duration, in microseconds.
 pub type Micros = u64;
 
-/// The published schema of the scenario file.
+/// Returns the published JSON schema of the scenario file.
 pub fn schema() -> serde_json::Value {
     document::schema::<Scenario>()
 }
 
-/// Reads a scenario: against its schema first, so that everything that is wrong is reported at once.
+/// Parses a scenario. It is validated against its schema first, so that all schema errors are reported at once.
 ///
 /// # Errors
-/// Each thing that is wrong, with its place.
+/// All errors, each with its place in the file.
 pub fn read(text: &str) -> Result<Scenario, ReplayError> {
     let scenario: Scenario = document::read("scenario", text).context(DocumentSnafu)?;
     let errors = scenario.validation_errors();
@@ -32,12 +32,12 @@
 }
 
 impl Scenario {
-    /// Job workers in all.
+    /// Total number of job workers of all kinds.
     pub fn workers(&self) -> u32 {
         self.kinds.iter().map(|k| k.count).sum()
     }
 
-    /// The kind of a worker: kinds are assigned in order.
+    /// Returns the index of a worker's kind: workers are numbered kind after kind.
     pub fn kind_of(&self, worker: u32) -> usize {
         let mut before = 0;
         for (n, kind) in self.kinds.iter().enumerate() {
@@ -49,12 +49,12 @@
         self.kinds.len() - 1
     }
 
-    /// The zone of a scheduler or worker.
+    /// Returns the zone of the scheduler or worker with this number; zones are assigned round-robin.
     pub fn zone_of(&self, number: u32) -> u32 {
         number % self.zones.len() as u32
     }
 
-    /// A worker's speed.
+    /// Returns a worker's speed, drawn from its kind's range by `fleet_seed`: the same in every run.
     pub fn speed_of(&self, worker: u32) -> f64 {
         let [low, high] = self.kinds[self.kind_of(worker)].speed;
         low + (high - low)
@@ -65,7 +65,8 @@
             ))
     }
 
-    /// The kitchen whose schedulers a job's client calls.
+    /// Returns the zone whose schedulers a job's client calls: the parish's configured zone, otherwise one derived from the
+    /// index of the parish, or from the job's `number` if the parish is unknown.
     pub fn home(&self, parish: Option<u32>, number: u64) -> u32 {
         let zones = self.zones.len() as u32;
         let of = parish.map(|p| {
@@ -77,7 +78,8 @@
         of.unwrap_or((number % u64::from(zones)) as u32)
     }
 
-    /// A kitchen's schedulers in turn; where it has none, all are.
+    /// Returns the scheduler for request number `turn` of a zone: round-robin over the schedulers of the zone, or over all
+    /// schedulers if the zone has none.
     pub fn scheduler_of(&self, zone: u32, turn: u32) -> u32 {
         let (zones, all) = (self.zones.len() as u32, self.schedulers);
         let own = (all + zones - 1 - zone) / zones;
@@ -88,12 +90,12 @@
         }
     }
 
-    /// When it starts, in microseconds since 1970.
+    /// Start of the scenario, in microseconds since 1970.
     pub fn from(&self) -> Micros {
         self.start * 1_000_000
     }
 
-    /// First tries a second that the fleet can do when warm, for the quota of each parish.
+    /// First tries per second that the warm fleet can serve. The quota of each parish is a fraction of it.
     pub fn capacity(&self) -> f64 {
         let cores: f64 = self
             .kinds
@@ -109,7 +111,7 @@
         cores / work
     }
 
-    /// Running time of a job at speed 1, on the mean over all classes.
+    /// Mean running time of a job at speed 1 over all classes, in microseconds.
     pub fn mean_work(&self) -> Micros {
         let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         (self
@@ -119,7 +121,7 @@
             .sum::<f64>()) as Micros
     }
 
-    /// The mean of running time times slots over all classes, in microseconds at speed 1.
+    /// Mean of running time times slots over all classes, in microseconds at speed 1.
     pub fn mean_total_work(&self) -> f64 {
         let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         self.classes
@@ -130,7 +132,7 @@
 }
 
 impl Class {
-    /// Slots of a job on the mean.
+    /// Mean number of slots of a job.
     pub fn mean_slots(&self) -> f64 {
         let all: f64 = self.slots.iter().sum();
         self.slots
@@ -140,7 +142,7 @@
             .sum()
     }
 
-    /// How long a client waits.
+    /// How long a client waits over all its tries, in microseconds.
     pub fn deadline(&self) -> Micros {
         self.deadline_ms * 1000
     }
--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -1,5 +1,5 @@
-//! The form of the scenario file: its parts, with their defaults. Field names of the file that differ from the code's are
-//! stated beside each; the doc comments here are the descriptions of the published schema.
+//! The types of the scenario file, with their defaults. Where a name in the file differs from the field's name, a `serde`
+//! attribute states it. The doc comments here are the descriptions of the published schema.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/replay/src/scenario/settings.rs
+++ b/crates/replay/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a scheduler, as the platform would write them.
+//! Builds a scheduler's settings document from a scenario, in the format in which the platform writes it.
 
 use super::{Class, Effect, Scenario};
 use crate::error::{ReplayError, SettingsSnafu};
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use snafu::ResultExt;
 
-/// A class in the platform's form; times are in microseconds.
+/// Returns the `profiles` entry of a class; times are in microseconds.
 fn profile(class: &Class) -> Value {
     let mut profile = json!({"name": class.name, "aim": class.latency_target_ms * 1000, "deadline": class.deadline(),
         "worth": class.value, "lateWorth": class.late_value});
@@ -23,7 +23,7 @@
 }
 
 impl Scenario {
-    /// The settings of a scheduler in the platform's form.
+    /// Returns the settings document of scheduler number `me`, as the platform writes it.
     pub fn settings(&self, me: u32) -> Value {
         let capacity = self.capacity();
         let us = |ms: f64| (ms * 1e3) as u64;
@@ -64,14 +64,14 @@
         })
     }
 
-    /// The same, as the scheduler reads it.
+    /// Returns the settings of scheduler number `me`, parsed by the scheduler's own reader.
     ///
     /// # Errors
-    /// What the scheduler does not take.
+    /// The scheduler rejects the settings.
     pub fn site(&self, me: u32) -> Result<Site, ReplayError> {
         let text = self.settings(me).to_string().into_bytes();
         let mut site = Site::read(text).context(SettingsSnafu)?;
-        // As the program does on sockets.
+        // The scheduler program also limits open requests to a quarter of its file descriptors.
         site.settings.limits.open = Some(self.limits.sockets as usize / 4);
         Ok(site)
     }
--- a/crates/replay/src/scenario/validation.rs
+++ b/crates/replay/src/scenario/validation.rs
@@ -1,9 +1,9 @@
-//! Checks of a scenario beyond what a schema can state.
+//! Checks of a scenario that a JSON schema cannot express.
 
 use super::{Fault, FaultKind, Kind, Scenario};
 
 impl Scenario {
-    /// Everything that is wrong with the scenario, each with its place in the file.
+    /// Returns all errors of the scenario, each with its place in the file.
     pub(super) fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
         if has_duplicates(self.classes.iter().map(|c| c.name.as_str())) {
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -1,9 +1,9 @@
-//! The service metric and what it is made of, counted as jobs end.
+//! The service metric and its components, accumulated as jobs end.
 //!
 //! A job's value counts in full if its answer came within its latency target, in part if it came later, and not at all
 //! otherwise. Time counts from the intended send of the first try, over all retries; the latency target is the class's plus
-//! `stretch` times the job's own running time. The metric is 45% the whole run, 15% its worst 10 s, 30% its worst class, 10%
-//! its worst parish (within its quota), less the prices.
+//! `stretch` times the job's own running time. The metric is the weighted sum of the fractions of value earned over the whole
+//! run (45%), in its worst 10 s (15%), by its worst class (30%) and by its worst parish within quota (10%), less the prices.
 
 use crate::load::Arrival;
 use crate::scenario::{Class, Micros, Scenario};
@@ -11,29 +11,29 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Seconds of the worst window.
+/// Length of the worst window in seconds.
 const WORST_WINDOW_S: usize = 10;
-/// Weights of whole run, worst window, worst class, worst parish.
+/// Weights of the whole run, the worst window, the worst class and the worst parish.
 const WEIGHTS: [f64; 4] = [0.45, 0.15, 0.30, 0.10];
-/// Longest run in seconds; what comes later counts in the last one.
+/// Longest run in seconds; later events count in the last second.
 const MAX_SECONDS: u64 = 100_000;
-/// The greatest latency that is told apart, in microseconds.
+/// The greatest latency that the histograms record, in microseconds; greater ones are recorded as this.
 const MAX_LATENCY: Micros = 3_600_000_000;
 
 /// How a job ended for its client, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobEnd {
-    /// Served.
+    /// Served, on time or late.
     Served(Micros),
-    /// Refused, without a further retry.
+    /// Refused, with no further retry.
     Refused(Micros),
-    /// Failed, without a further retry.
+    /// Failed, with no further retry.
     Failed(Micros),
-    /// The client's deadline has passed.
+    /// The client's deadline has passed without a final response.
     DeadlinePassed(Micros),
 }
 
-/// Index of a count by how jobs ended, in the order of stored results.
+/// Index into the counts of ended jobs, in the order of stored results.
 #[derive(Clone, Copy)]
 enum EndKind {
     InTime,
@@ -42,29 +42,29 @@
     Failed,
 }
 
-/// Counts of one second: of the first tries that were to be sent in it, where nothing else is said.
+/// Counts of one second. Unless stated otherwise, they are of jobs whose first try was due in that second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// First tries.
+    /// Number of first tries.
     pub first: u32,
-    /// Retries.
+    /// Number of retries.
     pub retries: u32,
-    /// Jobs served in time, late, refused, failed.
+    /// Numbers of jobs served in time, served late, refused and failed.
     pub ends: [u32; 4],
-    /// Value of all jobs.
+    /// Value of all jobs, whether earned or not.
     #[serde(rename = "asked")]
     pub offered: f64,
-    /// Value earned.
+    /// Value earned by served jobs.
     pub earned: f64,
     /// Attempts sent to workers in this second.
     pub attempts: u32,
-    /// Jobs that began at each worker in this second.
+    /// Jobs started by each worker in this second.
     pub begun: Vec<u32>,
-    /// Sum of the times of served jobs, in milliseconds.
+    /// Sum of the latencies of served jobs, in milliseconds.
     pub took_ms: f64,
 }
 
-/// Value offered and earned.
+/// Value of the jobs of a group, and the part of it that was earned.
 #[derive(Clone, Copy, Debug, Default)]
 struct EarnedValue {
     offered: f64,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A class or a parish with its value.
+/// A class or a parish with the value of its jobs.
 struct Named {
     name: String,
     value: EarnedValue,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The least fraction of those to which anything was offered.
+    /// Returns the least fraction of value earned and its name, of those with any value offered; (1, "") without any.
     fn worst(all: &[Named]) -> (f64, String) {
         all.iter()
             .filter(|one| one.value.offered > 0.0)
@@ -124,7 +124,7 @@
     }
 }
 
-/// The results of a run. Its serialised names are those of results that are stored.
+/// The results of a run. Stored results hold its serialised names, so they may not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The service metric.
@@ -133,42 +133,42 @@
     /// Fraction of the value earned over the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// ... in the worst 10 s, and at which second that began.
+    /// Fraction of the value earned in the worst 10 s, and the second at which that window began.
     #[serde(rename = "worst_stretch")]
     pub worst_window: (f64, usize),
-    /// ... of the worst class.
+    /// Fraction of the value earned by the worst class, and its name.
     pub worst_class: (f64, String),
-    /// ... of the worst parish, within its quota.
+    /// Fraction of the value earned by the worst parish from jobs within its quota, and its name.
     pub worst_parish: (f64, String),
-    /// By class.
+    /// Fraction of the value earned, by class.
     pub classes: BTreeMap<String, f64>,
-    /// By parish.
+    /// Fraction of the value earned within quota, by parish.
     pub parishes: BTreeMap<String, f64>,
-    /// Points taken off: crossings, waste, probes, late failures.
+    /// Deductions from the metric for zone crossings, wasted work, probes and late failures.
     pub prices: [f64; 4],
-    /// First tries, retries, attempts, probes.
+    /// Numbers of first tries, retries, attempts and probes.
     pub counts: [u64; 4],
-    /// Jobs served in time, late, refused, failed.
+    /// Numbers of jobs served in time, served late, refused and failed.
     pub ends: [u64; 4],
-    /// Times from the first try's intended send to the answer, by class and parish: p50, p90, p99, p99.9 and maximum, in
-    /// milliseconds, and how many.
+    /// Latency of served jobs from the intended send of the first try, by class and parish: p50, p90, p99, p99.9 and maximum
+    /// in milliseconds, then the number of jobs.
     pub latency: BTreeMap<String, [f64; 6]>,
-    /// Second by second.
+    /// Counts of each second of the run, up to the last first try.
     pub seconds: Vec<Second>,
-    /// How late the generator sent: p99 and maximum, in milliseconds.
+    /// Delay of the load generator's sends behind schedule: p99 and maximum, in milliseconds.
     pub lateness: [f64; 2],
 }
 
-/// The quota of a parish: a token bucket that holds what a second brings.
+/// The quota of a parish: a token bucket that holds the tokens of one second.
 struct Quota {
-    /// Jobs a second.
+    /// Jobs per second.
     rate: f64,
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl Quota {
-    /// Takes a token; false where the job is over the quota.
+    /// Takes a token. Returns false if the job is over the quota.
     fn take(&mut self, now: Micros) -> bool {
         let passed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
@@ -181,7 +181,8 @@
     }
 }
 
-/// Work in microseconds at speed 1.
+/// Sums of work (running time times slots), in microseconds at speed 1: of all ended jobs, of runs that workers completed,
+/// and of served jobs.
 #[derive(Default)]
 struct WorkSums {
     offered: f64,
@@ -189,7 +190,7 @@
     answered: f64,
 }
 
-/// Counts of a run.
+/// Event counts of a run.
 #[derive(Default)]
 struct Counts {
     arrivals: u64,
@@ -199,11 +200,11 @@
     zone_crossings: u64,
 }
 
-/// A job that has ended.
+/// What the service metric needs to know of a job when it ends.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedJob {
     class: u32,
-    /// `None`: the scenario does not know it.
+    /// `None` if the parish is not in the scenario.
     parish: Option<u32>,
     sent_at: Micros,
     /// Running time at speed 1.
@@ -213,7 +214,7 @@
 }
 
 impl EndedJob {
-    /// The job of an arrival; whether it is over its parish's quota is what [`Service::record_arrival`] said.
+    /// Creates the entry of an arrival. `beyond_quota` is the result of [`Service::record_arrival`].
     pub fn new(arrival: &Arrival, beyond_quota: bool) -> Self {
         EndedJob {
             class: arrival.class,
@@ -229,13 +230,13 @@
         (self.work * u64::from(self.slots)) as f64
     }
 
-    /// In microseconds.
+    /// Latency up to which the job counts as in time, in microseconds.
     fn latency_target(&self, class: &Class) -> f64 {
         class.latency_target_ms as f64 * 1e3 + class.stretch * self.work as f64
     }
 }
 
-/// Counts what becomes of jobs.
+/// Accumulates the results of a run.
 pub struct Service {
     from: Micros,
     classes: Vec<Named>,
@@ -243,7 +244,7 @@
     quotas: Vec<Quota>,
     seconds: Vec<Second>,
     workers: usize,
-    /// Of classes, then of parishes.
+    /// Latency histograms of the classes, followed by those of the parishes.
     latencies: Vec<Histogram<u64>>,
     lateness: Histogram<u64>,
     counts: Counts,
@@ -264,7 +265,7 @@
     us as f64 / 1e3
 }
 
-/// Percentiles, maximum and count in the order of [`Outcome::latency`].
+/// Returns percentiles, maximum and count in the order of [`Outcome::latency`].
 fn latency_row(histogram: &Histogram<u64>) -> [f64; 6] {
     let at = |quantile| ms(histogram.value_at_quantile(quantile));
     let maximum = ms(histogram.max());
@@ -273,7 +274,7 @@
 }
 
 impl Service {
-    /// Nothing counted yet.
+    /// Creates empty counts for a scenario, with the quotas full.
     pub fn new(scenario: &Scenario) -> Self {
         let capacity = scenario.capacity();
         let quota = |fraction: f64| Quota {
@@ -312,7 +313,7 @@
         &mut self.seconds[n]
     }
 
-    /// A first try is to be sent; true where it is over its parish's quota.
+    /// Counts a first try that is due. Returns true if it is over its parish's quota.
     pub fn record_arrival(&mut self, at: Micros, parish: Option<u32>) -> bool {
         self.counts.arrivals += 1;
         self.second(at).first += 1;
@@ -320,42 +321,42 @@
         quota.is_some_and(|quota| !quota.take(at))
     }
 
-    /// A request was sent so much later than it was to be.
+    /// Records the delay of a send behind its schedule, in microseconds.
     pub fn record_lateness(&mut self, by: Micros) {
         self.lateness.saturating_record(by.max(1));
     }
 
-    /// A retry of a job whose first try was to be sent then.
+    /// Counts a retry of a job whose first try was due at `at`.
     pub fn record_retry(&mut self, at: Micros) {
         self.counts.retries += 1;
         self.second(at).retries += 1;
     }
 
-    /// An attempt was sent to a worker.
+    /// Counts an attempt that was sent to a worker.
     pub fn record_attempt(&mut self, at: Micros, crosses_zones: bool) {
         self.counts.attempts += 1;
         self.counts.zone_crossings += u64::from(crosses_zones);
         self.second(at).attempts += 1;
     }
 
-    /// A probe was sent.
+    /// Counts a probe that was sent.
     pub fn record_probe(&mut self) {
         self.counts.probes += 1;
     }
 
-    /// A job began at a worker.
+    /// Counts a job that a worker started.
     pub fn record_start(&mut self, at: Micros, worker: u32) {
         if let Some(count) = self.second(at).begun.get_mut(worker as usize) {
             *count += 1;
         }
     }
 
-    /// A worker has run a job to its end; `work` is times its slots.
+    /// Counts a run that a worker completed; `work` is the running time at speed 1 times slots.
     pub fn record_completion(&mut self, work: Micros) {
         self.work.completed += work as f64;
     }
 
-    /// A job has ended.
+    /// Counts a job that ended, its value and what it earned.
     pub fn record_end(&mut self, scenario: &Scenario, job: EndedJob, end: JobEnd) {
         let class = &scenario.classes[job.class as usize];
         let weight = if job.beyond_quota {
@@ -418,9 +419,9 @@
         }
     }
 
-    /// The results of the run.
+    /// Computes the results of the run.
     pub fn outcome(mut self) -> Outcome {
-        // The last seconds hold what ends after the last arrival, and no arrivals.
+        // Seconds after the last arrival hold only attempts and starts of earlier jobs, and are left out.
         let last = self.seconds.iter().rposition(|s| s.first > 0);
         let arrivals_end = last.map_or(0, |n| n + 1).max(1);
         self.seconds.truncate(arrivals_end.min(self.seconds.len()));
@@ -457,7 +458,7 @@
         }
     }
 
-    /// The least fraction in a window of [`WORST_WINDOW_S`], and the second at which it began.
+    /// Returns the least fraction of value earned in any window of [`WORST_WINDOW_S`], and the second at which it began.
     fn worst_window(&self) -> (f64, usize) {
         let size = WORST_WINDOW_S.min(self.seconds.len()).max(1);
         self.seconds
@@ -469,7 +470,7 @@
             .unwrap_or((1.0, 0))
     }
 
-    /// Points taken off, in the order of [`Outcome::prices`].
+    /// Returns the deductions, in the order of [`Outcome::prices`].
     fn price_points(&self) -> [f64; 4] {
         let arrivals = self.counts.arrivals.max(1) as f64;
         let offered: f64 = self.seconds.iter().map(|s| s.offered).sum();
