--- a/crates/replay/src/check.rs
+++ b/crates/replay/src/check.rs
@@ -20,7 +20,7 @@
 /// Identifies a job at one scheduler, which is one request of a client.
 pub type Job = u64;
 
-#[allow(missing_docs, reason = "the fields say what they are")]
+#[allow(missing_docs, reason = "the variants' comments describe the fields")]
 /// An event of a run. Events that one rule relates to each other arrive in order of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
@@ -299,7 +299,7 @@
 
     fn check_answer(&mut self, job: Job, served: bool, refused: bool, at: Micros) {
         let Some(state) = self.jobs.get_mut(&job) else {
-            let text = format!("job {job} has an answer and was never taken");
+            let text = format!("job {job} was answered and never accepted");
             return self.record_breach(Rule::OneAnswer, at, text);
         };
         let answered_before = std::mem::replace(&mut state.answered, true);
@@ -315,11 +315,11 @@
             self.record_breach(Rule::OneAnswer, at, text);
         }
         if served && !state.result_produced {
-            let text = format!("job {job} was served with what no job worker made");
+            let text = format!("job {job} was served a result that no job worker produced");
             self.record_breach(Rule::ResultProduced, at, text);
         }
         if refused && state.runs > 0 && self.effect(state.class) == Effect::Unsafe {
-            let text = format!("job {job} was refused, and may have run");
+            let text = format!("job {job} was refused although it may have run");
             self.record_breach(Rule::Refusal, at, text);
         }
         self.drop_old_jobs(job);
@@ -335,7 +335,7 @@
         *latest = latest.max(ms);
         if after > self.scenario.rules.drain_grace_ms * 1000 + self.slack() {
             let text = format!(
-                "scheduler {scheduler} sent to job worker {worker} {ms:.0} ms after it was told"
+                "scheduler {scheduler} sent to job worker {worker} {ms:.0} ms after it learned of the drain or end"
             );
             self.record_breach(Rule::Drain, at, text);
         }
@@ -349,7 +349,7 @@
         *peak = peak.max(load.multiple);
         if load.overloaded {
             let text = format!(
-                "job worker {worker} is cold and was sent {:.2} times what it can do",
+                "job worker {worker} is warming up and was sent {:.2} times its capacity",
                 load.multiple
             );
             self.record_breach(Rule::WarmUp, at, text);
@@ -365,7 +365,7 @@
         state.attempts_open += 1;
         let state = state.clone();
         if others_open > 0 && !self.scenario.machines.speculative_runs {
-            let text = format!("job {job} was sent while it was out");
+            let text = format!("job {job} was sent while another attempt was open");
             self.record_breach(Rule::SpeculativeRuns, at, text);
         }
         if state.attempts_sent > self.scenario.rules.attempts {
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -31,7 +31,7 @@
         source: ConfigError,
     },
     /// Load is to be generated and the scenario states no rate or no duration.
-    #[snafu(display("at /load: 'rate' and 'seconds' must be over 0 for load that is made"))]
+    #[snafu(display("at /load: 'rate' and 'seconds' must be over 0 to generate load"))]
     NoLoad,
     /// The scenario's distribution of subjects is invalid.
     #[snafu(display("at /clients/zipf: {source}"))]
@@ -54,7 +54,7 @@
         source: RecordingError,
     },
     /// A recorded job's class is not in the scenario.
-    #[snafu(display("class {class:?} of the recording is none of the scenario's: {}", allowed.join(", ")))]
+    #[snafu(display("class {class:?} of the recording is not in the scenario, which has: {}", allowed.join(", ")))]
     UnknownClass {
         /// The job's class.
         class: String,
@@ -63,7 +63,7 @@
     },
     /// The scenario uses features that sockets do not support.
     #[snafu(display(
-        "at /machines: 'things', 'cancel' and 'copies' are played in virtual time only"
+        "at /machines: 'things', 'cancel' and 'copies' are supported in virtual time only"
     ))]
     VirtualTimeOnly,
     /// An emulated worker or the emulated discovery service cannot be opened.
@@ -97,7 +97,7 @@
         log: Vec<String>,
     },
     /// A scheduler process exited during the run.
-    #[snafu(display("a scheduler ended while it was needed: {status}"))]
+    #[snafu(display("a scheduler ended before the end of the run: {status}"))]
     SchedulerEnded {
         /// Exit status of the process.
         status: ExitStatus,
@@ -153,6 +153,6 @@
         most: u32,
     },
     /// A plan does not hold the module and at least one more policy.
-    #[snafu(display("the module and one more policy at least are wanted"))]
+    #[snafu(display("the module and at least one more policy are required"))]
     NoComparison,
 }
--- a/crates/replay/src/import_command.rs
+++ b/crates/replay/src/import_command.rs
@@ -64,7 +64,7 @@
         Some("json") => {
             let fields = mapping.file.json.clone();
             let fields =
-                fields.ok_or("the mapping must say under 'json' where the fields stand")?;
+                fields.ok_or("format json requires the key 'json' in the mapping file, which states the names of the fields")?;
             Some(Kind::AccessLog(LogFormat::Json(Box::new(fields))))
         }
         Some(name) => Some(Kind::AccessLog(LogFormat::named(name)?)),
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -27,8 +27,12 @@
 
 pub(crate) fn read_run(path: &Path) -> Result<Run, Bad> {
     let text = text_of(path)?;
-    Ok(serde_json::from_str(&text)
-        .map_err(|e| format!("{}: this is no result: {e}", path.display()))?)
+    Ok(serde_json::from_str(&text).map_err(|e| {
+        format!(
+            "{}: not a result written by --json-out: {e}",
+            path.display()
+        )
+    })?)
 }
 
 pub(crate) fn live(args: &Live, json: bool) -> Result<ExitCode, Bad> {
--- a/crates/replay/src/recording_commands.rs
+++ b/crates/replay/src/recording_commands.rs
@@ -188,7 +188,7 @@
 ) -> Result<(), Bad> {
     let secret = text_of(secret)?;
     if secret.trim().len() < MIN_SECRET_LENGTH {
-        return Err("the secret is too short: 16 characters or more are wanted".into());
+        return Err("the secret is too short: at least 16 characters are required".into());
     }
     change(files, json, |jobs| {
         Box::new(ops::pseudonymise(jobs, secret.trim(), parishes))
--- a/crates/replay/src/scenario/validation.rs
+++ b/crates/replay/src/scenario/validation.rs
@@ -50,12 +50,12 @@
     let [low, high] = kind.speed;
     if !(low > 0.0 && low <= high) {
         errors.push(format!(
-            "at /kinds/{n}/speed: wanted are two numbers over 0, the lower first"
+            "at /kinds/{n}/speed: two numbers over 0 are required, the lower first"
         ));
     }
     if !(kind.initial_capacity > 0.0 && kind.initial_capacity <= 1.0) {
         errors.push(format!(
-            "at /kinds/{n}/cold-from: wanted is a share over 0 and up to 1"
+            "at /kinds/{n}/cold-from: a fraction over 0 and up to 1 is required"
         ));
     }
 }
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -258,7 +258,9 @@
 
 fn histogram() -> Histogram<u64> {
     let made = Histogram::new_with_bounds(1, MAX_LATENCY, 3);
-    made.unwrap_or_else(|_| unreachable!("the bounds are right"))
+    made.unwrap_or_else(|_| {
+        unreachable!("histogram bounds 1 to {MAX_LATENCY} with 3 digits are valid")
+    })
 }
 
 fn ms(us: u64) -> f64 {
