--- a/crates/replay/src/cli.rs
+++ b/crates/replay/src/cli.rs
@@ -19,11 +19,11 @@
     #[arg(long, global = true, default_value = "info")]
     pub log: tracing::Level,
     #[command(subcommand)]
-    pub call: Call,
+    pub command: Command,
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Call {
+pub(crate) enum Command {
     /// Import HAR files and access logs into a recording.
     Import(Import),
     /// Summarise a recording: rates, classes, parishes, statuses.
@@ -136,7 +136,7 @@
     pub at: f64,
     /// Length of the jump in seconds.
     #[arg(long = "for")]
-    pub long: f64,
+    pub duration: f64,
     /// Factor by which the rate is multiplied during the jump; over 0 and up to 1000.
     #[arg(long)]
     pub times: f64,
@@ -229,7 +229,7 @@
     /// The scheduler program, for --sockets.
     #[arg(long, default_value = "target/release/indigofold")]
     pub program: PathBuf,
-    /// Play only the first seconds of the load.
+    /// Play only this many seconds of the load, from its start.
     #[arg(long)]
     pub seconds: Option<f64>,
     #[command(flatten)]
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -37,7 +37,7 @@
 
 /// Returns the 95% confidence interval of the difference in the fraction of value earned, by resampling blocks of paired
 /// seconds (moving block bootstrap, Kuensch 1989). `None` if there are fewer than three blocks.
-fn paired(a: &[Second], b: &[Second], seed: u64) -> Option<[f64; 2]> {
+fn bootstrap_interval(a: &[Second], b: &[Second], seed: u64) -> Option<[f64; 2]> {
     let n = a.len().min(b.len());
     if n < 3 * BLOCK {
         return None;
@@ -54,7 +54,7 @@
     };
     let (a, b) = (sums(a), sums(b));
     let mut rng = draw(seed, 0, 0xb007);
-    let mut found: Vec<f64> = (0..DRAWS)
+    let mut differences: Vec<f64> = (0..DRAWS)
         .map(|_| {
             let mut sums = [0.0; 4];
             for _ in 0..n.div_ceil(BLOCK) {
@@ -73,8 +73,8 @@
             fraction(sums[2], sums[3]) - fraction(sums[0], sums[1])
         })
         .collect();
-    found.sort_by(f64::total_cmp);
-    let at = |q: f64| found[(q * (found.len() - 1) as f64) as usize];
+    differences.sort_by(f64::total_cmp);
+    let at = |q: f64| differences[(q * (differences.len() - 1) as f64) as usize];
     Some([at(0.025), at(0.975)])
 }
 
@@ -173,7 +173,7 @@
 
 /// Compares two runs.
 pub fn compare(a: &Run, b: &Run) -> Comparison {
-    let interval = paired(&a.outcome.seconds, &b.outcome.seconds, 1);
+    let interval = bootstrap_interval(&a.outcome.seconds, &b.outcome.seconds, 1);
     let mut differences = Differences(Vec::new());
     differences.add_values(&a.outcome, &b.outcome, interval);
     differences.add_ends(&a.outcome, &b.outcome);
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -70,29 +70,29 @@
 pub struct Log<W: Write> {
     form: Form,
     out: W,
-    first: bool,
+    is_first_entry: bool,
     minute: (i64, String),
     damage: LogDamage,
     rng: Pcg64Mcg,
 }
 
 /// Returns the IP address of a client of a parish.
-pub fn address(parish: u32, office: u32) -> String {
+pub fn address(parish: u32, client: u32) -> String {
     format!(
         "10.{}.{}.{}",
-        network(parish),
-        office / 250,
-        1 + office % 250
+        network_byte(parish),
+        client / 250,
+        1 + client % 250
     )
 }
 
 /// Returns the second byte of the addresses of a parish's clients.
-fn network(parish: u32) -> u32 {
+fn network_byte(parish: u32) -> u32 {
     4 + parish % 200
 }
 
 /// Returns the trace ID of one try of a job, which differs between tries.
-fn trace(number: u64, tried: u32) -> String {
+fn trace_id(number: u64, tried: u32) -> String {
     format!(
         "{:016x}",
         (number << 4 | u64::from(tried)).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995
@@ -109,7 +109,7 @@
     status: Option<u16>,
     /// Size of the response body in bytes.
     bytes: u32,
-    trace: String,
+    trace_id: String,
     /// Values of [`HEADERS`], in their order; `-` if absent.
     headers: [String; 6],
 }
@@ -135,25 +135,25 @@
             Effect::Safe | Effect::Unsafe => None,
         };
         let marked = scenario.clients.retries_marked && t.retry > 0;
-        let trace = trace(a.number, t.retry);
+        let trace_id = trace_id(a.number, t.retry);
         let expires_ms = (a.at + a.deadline).saturating_sub(t.from) / 1000;
         let none = || "-".to_string();
         LogEntry {
             from: t.from,
             to: t.to,
-            address: address(a.parish.unwrap_or(200), a.office),
+            address: address(a.parish.unwrap_or(200), a.client),
             target: format!("/{}/{}", class.name, a.subject),
             status: t.status,
             bytes: if t.status == Some(200) { 64 } else { 0 },
             headers: [
                 parish.unwrap_or_else(none),
-                trace.clone(),
+                trace_id.clone(),
                 key.map_or_else(none, |key| format!("k{key:016x}")),
                 if marked { "1".to_string() } else { none() },
                 expires_ms.to_string(),
                 format!("needs={}", a.slots),
             ],
-            trace,
+            trace_id,
         }
     }
 
@@ -193,18 +193,18 @@
     }
 
     fn envoy(&self) -> String {
-        let (time, ms) = (iso(self.from), self.took() / 1000);
+        let (time, ms) = (iso_time(self.from), self.took() / 1000);
         let (status, flags) = self.status.map_or((0, "DC"), |status| (status, "-"));
         let LogEntry {
             address: peer,
             target,
             bytes,
-            trace,
+            trace_id,
             ..
         } = self;
         format!(
             "[{time}] \"POST {target} HTTP/1.1\" {status} {flags} via_upstream - \"-\" 128 {bytes} {ms} - \
-             \"{peer}\" \"office/1.0\" \"{trace}\" \"jobs.internal\" \"127.0.0.1:8443\""
+             \"{peer}\" \"office/1.0\" \"{trace_id}\" \"jobs.internal\" \"127.0.0.1:8443\""
         )
     }
 
@@ -219,7 +219,7 @@
             Some(_) => self.took() as f64 / 1e3,
             None => -1.0,
         };
-        json!({"startedDateTime": iso(self.from), "time": ms,
+        json!({"startedDateTime": iso_time(self.from), "time": ms,
             "request": {"method": "POST", "url": format!("http://jobs.internal{target}"),
                 "httpVersion": "HTTP/1.1", "headers": headers, "cookies": [], "queryString": [],
                 "headersSize": -1, "bodySize": 128},
@@ -246,7 +246,7 @@
         Ok(Log {
             form,
             out,
-            first: true,
+            is_first_entry: true,
             minute,
             damage,
             rng: crate::sampling::draw(seed, 0, 0x4a43),
@@ -277,10 +277,10 @@
             }
             bytes.retain(|b| *b != b'\n');
         }
-        if self.form == Form::Har && !self.first {
+        if self.form == Form::Har && !self.is_first_entry {
             self.out.write_all(b",")?;
         }
-        self.first = false;
+        self.is_first_entry = false;
         self.out.write_all(&bytes)?;
         self.out.write_all(b"\n")
     }
@@ -299,15 +299,15 @@
     fn render(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> String {
         let entry = LogEntry::new(scenario, t);
         match self.form {
-            Form::Combined => entry.combined(&self.clf(entry.from)),
+            Form::Combined => entry.combined(&self.clf_time(entry.from)),
             Form::Apache => entry.apache(),
-            Form::Nginx => entry.nginx(&self.clf(entry.to)),
+            Form::Nginx => entry.nginx(&self.clf_time(entry.to)),
             Form::Envoy => entry.envoy(),
             Form::Har => entry.har(),
         }
     }
 
-    fn clf(&mut self, at: Micros) -> String {
+    fn clf_time(&mut self, at: Micros) -> String {
         let second = (at / 1_000_000) as i64;
         let minute = second.div_euclid(60);
         if self.minute.0 != minute {
@@ -322,7 +322,7 @@
     }
 }
 
-fn iso(at: Micros) -> String {
+fn iso_time(at: Micros) -> String {
     let stamp = Timestamp::from_microsecond(at as i64 / 1000 * 1000).unwrap_or_default();
     format!("{stamp:.3}")
 }
@@ -336,7 +336,7 @@
         .map(|(n, p)| {
             (
                 p.name.clone(),
-                json!([format!("10.{}.0.0/16", network(n as u32))]),
+                json!([format!("10.{}.0.0/16", network_byte(n as u32))]),
             )
         })
         .collect();
--- a/crates/replay/src/files.rs
+++ b/crates/replay/src/files.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Returns a progress bar, hidden if standard error is not a terminal.
-pub(crate) fn bar(length: u64, of: &'static str) -> ProgressBar {
+pub(crate) fn bar(length: u64, message: &'static str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
@@ -19,22 +19,22 @@
     if let Ok(style) = style {
         bar.set_style(style);
     }
-    bar.with_message(of)
+    bar.with_message(message)
 }
 
-pub(crate) fn open(path: &Path) -> Result<Reader<Box<dyn BufRead>>, Bad> {
+pub(crate) fn open_recording(path: &Path) -> Result<Reader<Box<dyn BufRead>>, Bad> {
     let from =
         source::open(path, Arc::default()).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(Reader::new(from).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-pub(crate) fn text_of(path: &Path) -> Result<String, Bad> {
+pub(crate) fn read_text(path: &Path) -> Result<String, Bad> {
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
 /// Returns when a recording's first job was sent, in microseconds since 1970.
 pub(crate) fn first_time(path: &Path) -> Result<i64, Bad> {
-    Ok(open(path)?
+    Ok(open_recording(path)?
         .next()
         .transpose()?
         .ok_or("the recording is empty")?
@@ -43,7 +43,7 @@
 
 /// Creates a file under a temporary name and returns its writer and that name. The caller renames it once it is complete.
 /// The writer compresses if `path` ends in `.zst`.
-pub(crate) fn create(path: &Path) -> Result<(Box<dyn Write>, PathBuf), Bad> {
+pub(crate) fn create_temporary(path: &Path) -> Result<(Box<dyn Write>, PathBuf), Bad> {
     let unfinished = path.with_extension(format!("part-{}", std::process::id()));
     let file = File::create(&unfinished).map_err(|e| format!("{}: {e}", unfinished.display()))?;
     let out = BufWriter::with_capacity(1 << 18, file);
--- a/crates/replay/src/import_command.rs
+++ b/crates/replay/src/import_command.rs
@@ -2,7 +2,7 @@
 
 use crate::Bad;
 use crate::cli::Import;
-use crate::files::{bar, create, text_of};
+use crate::files::{bar, create_temporary, read_text};
 use indicatif::ProgressBar;
 use indigofold_traffic::Tally;
 use indigofold_traffic::access_log::LogFormat;
@@ -22,7 +22,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) fn import_files(args: &Import, json: bool) -> Result<ExitCode, Bad> {
-    let text = text_of(&args.mapping)?;
+    let text = read_text(&args.mapping)?;
     let mapping = Mapping::read(&text).map_err(|e| format!("{}:\n{e}", args.mapping.display()))?;
     let options = Options {
         format: log_format(args.format.as_deref(), &mapping)?,
@@ -33,7 +33,7 @@
     };
     let read = Arc::new(AtomicU64::new(0));
     let progress = Progress::start(&args.files, read.clone());
-    let (out, unfinished) = create(&args.out)?;
+    let (out, unfinished) = create_temporary(&args.out)?;
     let begin = Instant::now();
     let imported = import(&args.files, &options, out, &read);
     progress.finish();
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -17,7 +17,7 @@
 mod survey_command;
 
 use clap::Parser;
-use cli::{Call, Cli, SchemaOf};
+use cli::{Cli, Command, SchemaOf};
 use compare_command::compare_runs;
 use folding_command::check_folding;
 use import_command::import_files;
@@ -25,7 +25,7 @@
 use indigofold_traffic::mapping;
 use indigofold_traffic::ops;
 use play_command::{live, replay};
-use recording_commands::{change, jump, keep_time_span, merge, pseudonymise, scale, show};
+use recording_commands::{jump, keep_time_span, merge, pseudonymise, scale, show, transform};
 use serde_json::json;
 use std::io::Write;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
         .with_max_level(cli.log)
         .with_writer(std::io::stderr)
         .init();
-    match call(&cli) {
+    match run(&cli) {
         Ok(code) => code,
         Err(error) => {
             if cli.json {
@@ -50,39 +50,39 @@
     }
 }
 
-fn call(cli: &Cli) -> Result<ExitCode, Bad> {
-    match &cli.call {
-        Call::Import(args) => return import_files(args, cli.json),
-        Call::Show { recording } => show(recording, cli.json)?,
-        Call::Cut { files, from, to } => keep_time_span(files, *from, *to, cli.json)?,
-        Call::Filter {
+fn run(cli: &Cli) -> Result<ExitCode, Bad> {
+    match &cli.command {
+        Command::Import(args) => return import_files(args, cli.json),
+        Command::Show { recording } => show(recording, cli.json)?,
+        Command::Cut { files, from, to } => keep_time_span(files, *from, *to, cli.json)?,
+        Command::Filter {
             files,
             class,
             parish,
         } => {
-            change(files, cli.json, |jobs| {
+            transform(files, cli.json, |jobs| {
                 Box::new(ops::filter(jobs, class.clone(), parish.clone()))
             })?;
         }
-        Call::Merge { recordings, out } => merge(recordings, out, cli.json)?,
-        Call::Scale {
+        Command::Merge { recordings, out } => merge(recordings, out, cli.json)?,
+        Command::Scale {
             files,
             by,
             stretch_ms,
             seed,
         } => scale(files, *by, *stretch_ms, *seed, cli.json)?,
-        Call::Jump(args) => jump(args, cli.json)?,
-        Call::Pseudonymise {
+        Command::Jump(args) => jump(args, cli.json)?,
+        Command::Pseudonymise {
             files,
             secret,
             parishes,
         } => pseudonymise(files, secret, *parishes, cli.json)?,
-        Call::Live(args) => return live(args, cli.json),
-        Call::Replay(args) => return replay(args, cli.json),
-        Call::Compare(args) => compare_runs(args, cli.json)?,
-        Call::FoldCheck { scenario, seeds } => check_folding(scenario, *seeds, cli.json)?,
-        Call::Survey(args) => survey_command::call(args, cli.json)?,
-        Call::Schema { of } => {
+        Command::Live(args) => return live(args, cli.json),
+        Command::Replay(args) => return replay(args, cli.json),
+        Command::Compare(args) => compare_runs(args, cli.json)?,
+        Command::FoldCheck { scenario, seeds } => check_folding(scenario, *seeds, cli.json)?,
+        Command::Survey(args) => survey_command::call(args, cli.json)?,
+        Command::Schema { of } => {
             let schema = match of {
                 SchemaOf::Mapping => mapping::schema(),
                 SchemaOf::Scenario => scenario::schema(),
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -2,7 +2,7 @@
 
 use crate::Bad;
 use crate::cli::{Live, Replay, Results};
-use crate::files::{bar, open, text_of};
+use crate::files::{bar, open_recording, read_text};
 use indigofold_replay::error::ReplayError;
 use indigofold_replay::export::{self, Log, LogDamage};
 use indigofold_replay::load::{Arrival, Made, Recorded};
@@ -21,12 +21,12 @@
 const RULES_BROKEN: u8 = 3;
 
 pub(crate) fn read_scenario(path: &Path) -> Result<Scenario, Bad> {
-    let text = text_of(path)?;
+    let text = read_text(path)?;
     Ok(scenario::read(&text).map_err(|e| format!("{}:\n{e}", path.display()))?)
 }
 
 pub(crate) fn read_run(path: &Path) -> Result<Run, Bad> {
-    let text = text_of(path)?;
+    let text = read_text(path)?;
     Ok(serde_json::from_str(&text).map_err(|e| {
         format!(
             "{}: not a result written by --json-out: {e}",
@@ -61,22 +61,22 @@
         (scenario.load.rate * scenario.load.seconds) as u64,
         "playing",
     );
-    let mut failed = None;
+    let mut log_error = None;
     let log = |t: LoggedRequest<'_>| {
         if let Some(log) = logs.get_mut(t.scheduler as usize) {
-            failed = failed.take().or(log.write(&scenario, &t).err());
+            log_error = log_error.take().or(log.write(&scenario, &t).err());
         }
     };
     let simulation = Simulation::new(&scenario, seed, Retries::Model)?;
     let run = simulation.play(Made::new(&scenario, seed)?, log, |n| bar.set_position(n))?;
     bar.finish_and_clear();
-    if let Some(e) = failed {
+    if let Some(e) = log_error {
         return Err(e.into());
     }
     for log in logs {
         log.finish()?;
     }
-    results(&scenario, "Live", &run, begin, &args.results, json)
+    store_and_print_results(&scenario, "Live", &run, begin, &args.results, json)
 }
 
 pub(crate) fn replay(args: &Replay, json: bool) -> Result<ExitCode, Bad> {
@@ -87,15 +87,16 @@
     }
     let until = args.seconds.map(|s| scenario.from() + (s * 1e6) as u64);
     let begin = Instant::now();
-    let in_time = move |a: &Result<Arrival, ReplayError>| {
+    let before_end = move |a: &Result<Arrival, ReplayError>| {
         a.as_ref().is_ok_and(|a| until.is_none_or(|u| a.at < u)) || a.is_err()
     };
-    let arrivals: Box<dyn Iterator<Item = Result<Arrival, ReplayError>> + '_> = match &args
-        .recording
-    {
-        Some(path) => Box::new(Recorded::new(&scenario, open(path)?, seed)?.take_while(in_time)),
-        None => Box::new(Made::new(&scenario, seed)?),
-    };
+    let arrivals: Box<dyn Iterator<Item = Result<Arrival, ReplayError>> + '_> =
+        match &args.recording {
+            Some(path) => Box::new(
+                Recorded::new(&scenario, open_recording(path)?, seed)?.take_while(before_end),
+            ),
+            None => Box::new(Made::new(&scenario, seed)?),
+        };
     let bar = bar(
         (scenario.load.rate * scenario.load.seconds) as u64,
         "playing",
@@ -110,10 +111,10 @@
         )?
     };
     bar.finish_and_clear();
-    results(&scenario, "Replay", &run, begin, &args.results, json)
+    store_and_print_results(&scenario, "Replay", &run, begin, &args.results, json)
 }
 
-fn results(
+fn store_and_print_results(
     scenario: &Scenario,
     title: &str,
     run: &Run,
--- a/crates/replay/src/recording_commands.rs
+++ b/crates/replay/src/recording_commands.rs
@@ -2,7 +2,7 @@
 
 use crate::Bad;
 use crate::cli::{Files, Jump};
-use crate::files::{create, first_time, open, text_of};
+use crate::files::{create_temporary, first_time, open_recording, read_text};
 use indigofold_traffic::Job;
 use indigofold_traffic::ops::{self, Factor, Merged, Scaled, Summary};
 use indigofold_traffic::recording::{Header, Writer};
@@ -20,7 +20,7 @@
 const MIN_SECRET_LENGTH: usize = 16;
 
 pub(crate) fn show(path: &Path, json: bool) -> Result<(), Bad> {
-    let mut reader = open(path)?;
+    let mut reader = open_recording(path)?;
     let mut summary = Summary::default();
     for job in &mut reader {
         summary.add(&job?);
@@ -66,34 +66,37 @@
 
 type Jobs<'a> = Box<dyn Iterator<Item = Job> + 'a>;
 
-/// Returns the header and the jobs of a recording. The first read error ends the iterator and is stored in `failed`, which
-/// the caller checks after the last job.
-fn jobs(path: &Path, failed: &Rc<RefCell<Option<String>>>) -> Result<(Header, Jobs<'static>), Bad> {
-    let reader = open(path)?;
-    let (header, failed) = (reader.header.clone(), failed.clone());
+/// Returns the header and the jobs of a recording. The first read error ends the iterator and is stored in `read_error`,
+/// which the caller checks after the last job.
+fn read_jobs(
+    path: &Path,
+    read_error: &Rc<RefCell<Option<String>>>,
+) -> Result<(Header, Jobs<'static>), Bad> {
+    let reader = open_recording(path)?;
+    let (header, read_error) = (reader.header.clone(), read_error.clone());
     let jobs = reader.map_while(move |job| match job {
         Ok(job) => Some(job),
         Err(e) => {
-            *failed.borrow_mut() = Some(e.to_string());
+            *read_error.borrow_mut() = Some(e.to_string());
             None
         }
     });
     Ok((header, Box::new(jobs)))
 }
 
-fn write(
+fn write_recording(
     header: Header,
     jobs: Jobs<'_>,
     to: &Path,
-    failed: &Rc<RefCell<Option<String>>>,
+    read_error: &Rc<RefCell<Option<String>>>,
     json: bool,
 ) -> Result<(), Bad> {
-    let (out, unfinished) = create(to)?;
+    let (out, unfinished) = create_temporary(to)?;
     let mut writer = Writer::new(out, &header)?;
     for job in jobs {
         writer.write(&job)?;
     }
-    if let Some(error) = failed.take() {
+    if let Some(error) = read_error.take() {
         drop(writer);
         let _ = std::fs::remove_file(&unfinished);
         return Err(error.into());
@@ -108,30 +111,30 @@
     Ok(())
 }
 
-pub(crate) fn change(
+pub(crate) fn transform(
     files: &Files,
     json: bool,
-    by: impl FnOnce(Jobs<'static>) -> Jobs<'static>,
+    operation: impl FnOnce(Jobs<'static>) -> Jobs<'static>,
 ) -> Result<(), Bad> {
-    let failed = Rc::new(RefCell::new(None));
-    let (header, jobs) = jobs(&files.recording, &failed)?;
-    write(header, by(jobs), &files.out, &failed, json)
+    let read_error = Rc::new(RefCell::new(None));
+    let (header, jobs) = read_jobs(&files.recording, &read_error)?;
+    write_recording(header, operation(jobs), &files.out, &read_error, json)
 }
 
 pub(crate) fn merge(recordings: &[PathBuf], out: &Path, json: bool) -> Result<(), Bad> {
-    let failed = Rc::new(RefCell::new(None));
+    let read_error = Rc::new(RefCell::new(None));
     let mut all = Vec::new();
     let mut made_of = Vec::new();
     for path in recordings {
-        let (header, jobs) = jobs(path, &failed)?;
+        let (header, jobs) = read_jobs(path, &read_error)?;
         made_of.extend(header.made_of);
         all.push(jobs);
     }
-    write(
+    write_recording(
         Header::new(made_of, 0),
         Box::new(Merged::new(all)),
         out,
-        &failed,
+        &read_error,
         json,
     )
 }
@@ -140,7 +143,7 @@
 pub(crate) fn keep_time_span(files: &Files, from: f64, to: f64, json: bool) -> Result<(), Bad> {
     let first = first_time(&files.recording)?;
     let at = |seconds: f64| first + microseconds(seconds);
-    change(files, json, |jobs| {
+    transform(files, json, |jobs| {
         Box::new(ops::time_range(jobs, at(from), at(to)))
     })
 }
@@ -148,17 +151,17 @@
 /// Scales the rate by a factor; added jobs are shifted within spans of `stretch_ms`.
 pub(crate) fn scale(
     files: &Files,
-    by: f64,
+    factor: f64,
     stretch_ms: i64,
     seed: u64,
     json: bool,
 ) -> Result<(), Bad> {
-    if !(by > 0.0 && by <= MAX_FACTOR) {
+    if !(factor > 0.0 && factor <= MAX_FACTOR) {
         return Err("--by must be over 0 and up to 1000".into());
     }
     let stretch_us = stretch_ms.max(1) * 1000;
-    change(files, json, |jobs| {
-        Box::new(Scaled::new(jobs, Factor::Always(by), stretch_us, seed))
+    transform(files, json, |jobs| {
+        Box::new(Scaled::new(jobs, Factor::Always(factor), stretch_us, seed))
     })
 }
 
@@ -170,11 +173,11 @@
     let from = first_time(&args.files.recording)? + microseconds(args.at);
     let factor = Factor::Jump {
         from,
-        to: from + microseconds(args.long),
+        to: from + microseconds(args.duration),
         edge: microseconds(args.edge),
         times: args.times,
     };
-    change(&args.files, json, |jobs| {
+    transform(&args.files, json, |jobs| {
         Box::new(Scaled::new(jobs, factor, JUMP_STRETCH_US, args.seed))
     })
 }
@@ -186,11 +189,11 @@
     parishes: bool,
     json: bool,
 ) -> Result<(), Bad> {
-    let secret = text_of(secret)?;
+    let secret = read_text(secret)?;
     if secret.trim().len() < MIN_SECRET_LENGTH {
         return Err("the secret is too short: at least 16 characters are required".into());
     }
-    change(files, json, |jobs| {
+    transform(files, json, |jobs| {
         Box::new(ops::pseudonymise(jobs, secret.trim(), parishes))
     })
 }
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -20,7 +20,7 @@
     RGBColor(150, 40, 90),
 ];
 
-type Bad = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 /// A named line of a plot; points are (second, value).
 struct Series {
@@ -87,7 +87,10 @@
 }
 
 /// Draws all plots of a report. Returns the title and the SVG of each.
-fn plots(scenario: &Scenario, runs: &[(&str, &Run)]) -> Result<Vec<(&'static str, String)>, Bad> {
+fn plots(
+    scenario: &Scenario,
+    runs: &[(&str, &Run)],
+) -> Result<Vec<(&'static str, String)>, BoxError> {
     let chunks = Chunks::new(runs);
     let shaded = shaded_spans(scenario);
     let earned = chunks.series(earned_fraction);
@@ -127,7 +130,7 @@
     title: &str,
     runs: &[(&str, &Run)],
     comparison: Option<&Comparison>,
-) -> Result<String, Bad> {
+) -> Result<String, BoxError> {
     let plots = plots(scenario, runs)?;
     let latency: Vec<_> = runs
         .iter()
@@ -198,7 +201,7 @@
     lines: &[Series],
     range: Option<Range<f64>>,
     shaded: &[Range<f64>],
-) -> Result<String, Bad> {
+) -> Result<String, BoxError> {
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -244,7 +247,7 @@
 }
 
 /// Draws the jobs started by each worker over time as SVG; darker cells are more jobs.
-fn heat_map(run: &Run, name: &str, step: usize) -> Result<String, Bad> {
+fn heat_map(run: &Run, name: &str, step: usize) -> Result<String, BoxError> {
     let mut svg = String::new();
     {
         let seconds = &run.outcome.seconds;
--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -114,7 +114,7 @@
 pub fn check(scenario: &Scenario, seeds: u64) -> Result<Vec<Row>, ReplayError> {
     let mut counts = [FoldCounts::default(); RECORD_KINDS.len()];
     for seed in 1..=seeds {
-        let records = play(scenario, seed)?;
+        let records = record_requests(scenario, seed)?;
         for (kind, counts) in RECORD_KINDS.iter().zip(&mut counts) {
             counts.add(fold(scenario, &records, kind, seed).context(FoldSnafu)?);
         }
@@ -124,7 +124,7 @@
 }
 
 /// Plays a scenario and returns a labelled record of each client request.
-fn play(scenario: &Scenario, seed: u64) -> Result<Vec<LabelledRecord>, ReplayError> {
+fn record_requests(scenario: &Scenario, seed: u64) -> Result<Vec<LabelledRecord>, ReplayError> {
     let classes: Vec<Arc<str>> = scenario
         .classes
         .iter()
@@ -143,7 +143,7 @@
         let parish = arrival.parish.map(|p| parishes[p as usize].clone());
         let effect = scenario.classes[arrival.class as usize].effect;
         let record = Attempt {
-            job: job_of(&request, class, parish, effect),
+            job: logged_job(&request, class, parish, effect),
             resolution: 1,
             seq: records.len() as u64,
             id: 0,
@@ -158,14 +158,14 @@
 }
 
 /// Returns a request as the importer would read it from a log.
-fn job_of(
+fn logged_job(
     request: &LoggedRequest<'_>,
     class: Arc<str>,
     parish: Option<Arc<str>>,
     effect: Effect,
 ) -> Job {
     let arrival = request.arrival;
-    let address = crate::export::address(arrival.parish.unwrap_or(200), arrival.office);
+    let address = crate::export::address(arrival.parish.unwrap_or(200), arrival.client);
     let left = (arrival.at + arrival.deadline).saturating_sub(request.from);
     Job {
         at: request.from as Micros,
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -94,32 +94,32 @@
 }
 
 /// A class or a parish with the value of its jobs.
-struct Named {
+struct NamedValue {
     name: String,
     value: EarnedValue,
 }
 
-impl Named {
+impl NamedValue {
     fn new(name: &str) -> Self {
-        Named {
+        NamedValue {
             name: name.to_string(),
             value: EarnedValue::default(),
         }
     }
 
     /// Returns the least fraction of value earned and its name, of those with any value offered; (1, "") without any.
-    fn worst(all: &[Named]) -> (f64, String) {
+    fn worst(all: &[NamedValue]) -> (f64, String) {
         all.iter()
-            .filter(|one| one.value.offered > 0.0)
-            .map(|one| (one.value.fraction(), one.name.clone()))
+            .filter(|group| group.value.offered > 0.0)
+            .map(|group| (group.value.fraction(), group.name.clone()))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .unwrap_or((1.0, String::new()))
     }
 
-    fn fractions(all: &[Named]) -> BTreeMap<String, f64> {
+    fn fractions(all: &[NamedValue]) -> BTreeMap<String, f64> {
         all.iter()
-            .filter(|one| one.value.offered > 0.0)
-            .map(|one| (one.name.clone(), one.value.fraction()))
+            .filter(|group| group.value.offered > 0.0)
+            .map(|group| (group.name.clone(), group.value.fraction()))
             .collect()
     }
 }
@@ -239,8 +239,8 @@
 /// Accumulates the results of a run.
 pub struct Service {
     from: Micros,
-    classes: Vec<Named>,
-    parishes: Vec<Named>,
+    classes: Vec<NamedValue>,
+    parishes: Vec<NamedValue>,
     quotas: Vec<Quota>,
     seconds: Vec<Second>,
     workers: usize,
@@ -287,8 +287,8 @@
         let (classes, parishes) = (&scenario.classes, &scenario.parishes);
         Service {
             from: scenario.from(),
-            classes: classes.iter().map(|c| Named::new(&c.name)).collect(),
-            parishes: parishes.iter().map(|p| Named::new(&p.name)).collect(),
+            classes: classes.iter().map(|c| NamedValue::new(&c.name)).collect(),
+            parishes: parishes.iter().map(|p| NamedValue::new(&p.name)).collect(),
             quotas: parishes.iter().map(|p| quota(p.quota)).collect(),
             seconds: Vec::new(),
             workers: scenario.workers() as usize,
@@ -429,8 +429,8 @@
         self.seconds.truncate(arrivals_end.min(self.seconds.len()));
         let overall = EarnedValue::sum(&self.seconds).fraction();
         let worst_window = self.worst_window();
-        let worst_class = Named::worst(&self.classes);
-        let worst_parish = Named::worst(&self.parishes);
+        let worst_class = NamedValue::worst(&self.classes);
+        let worst_parish = NamedValue::worst(&self.parishes);
         let prices = self.price_points();
         let parts = [overall, worst_window.0, worst_class.0, worst_parish.0];
         let weighted = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum::<f64>();
@@ -441,8 +441,8 @@
             worst_window,
             worst_class,
             worst_parish,
-            classes: Named::fractions(&self.classes),
-            parishes: Named::fractions(&self.parishes),
+            classes: NamedValue::fractions(&self.classes),
+            parishes: NamedValue::fractions(&self.parishes),
             prices,
             counts: [
                 counts.arrivals,
