--- a/crates/replay/src/import_command.rs
+++ b/crates/replay/src/import_command.rs
@@ -1,8 +1,8 @@
-//! `import`: a recording made of HAR files and access logs.
+//! The `import` command: converts HAR files and access logs into a recording.
 
 use crate::Bad;
 use crate::cli::Import;
-use crate::files::{bar, create, text_of};
+use crate::files::{bar, create_temporary, read_text};
 use indicatif::ProgressBar;
 use indigofold_traffic::Tally;
 use indigofold_traffic::access_log::LogFormat;
@@ -18,11 +18,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Between two updates of the progress bar.
+/// Time between two updates of the progress bar.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) fn import_files(args: &Import, json: bool) -> Result<ExitCode, Bad> {
-    let text = text_of(&args.mapping)?;
+    let text = read_text(&args.mapping)?;
     let mapping = Mapping::read(&text).map_err(|e| format!("{}:\n{e}", args.mapping.display()))?;
     let options = Options {
         format: log_format(args.format.as_deref(), &mapping)?,
@@ -33,7 +33,7 @@
     };
     let read = Arc::new(AtomicU64::new(0));
     let progress = Progress::start(&args.files, read.clone());
-    let (out, unfinished) = create(&args.out)?;
+    let (out, unfinished) = create_temporary(&args.out)?;
     let begin = Instant::now();
     let imported = import(&args.files, &options, out, &read);
     progress.finish();
@@ -55,7 +55,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The format of the command line; `None`: each file's is detected.
+/// Parses the format argument; `None` means that the format of each file is detected.
 fn log_format(name: Option<&str>, mapping: &Mapping) -> Result<Option<Kind>, Bad> {
     Ok(match name {
         None => None,
@@ -64,7 +64,7 @@
         Some("json") => {
             let fields = mapping.file.json.clone();
             let fields =
-                fields.ok_or("the mapping must say under 'json' where the fields stand")?;
+                fields.ok_or("format json requires the key 'json' in the mapping file, which states the names of the fields")?;
             Some(Kind::AccessLog(LogFormat::Json(Box::new(fields))))
         }
         Some(name) => Some(Kind::AccessLog(LogFormat::named(name)?)),
@@ -79,7 +79,7 @@
 }
 
 impl Progress {
-    /// `read` is the number of bytes that were read of the files.
+    /// Starts the progress bar; `read` is the number of bytes of the files read so far.
     fn start(files: &[PathBuf], read: Arc<AtomicU64>) -> Self {
         let sizes = files.iter().filter_map(|file| file.metadata().ok());
         let bar = bar(sizes.map(|m| m.len()).sum(), "reading");
--- a/crates/replay/src/load.rs
+++ b/crates/replay/src/load.rs
@@ -9,86 +9,86 @@
 use snafu::{OptionExt, ResultExt};
 use std::io::BufRead;
 
-/// A job whose first try is to be sent.
+/// A job and when its first try is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its number, from 0.
+    /// Sequence number in the load, from 0.
     pub number: u64,
-    /// When it is to be sent, in microseconds since 1970.
+    /// When the first try is due, in microseconds since 1970.
     pub at: Micros,
     /// Index into the scenario's classes.
     pub class: u32,
-    /// Index into the scenario's parishes; `None`: one that the scenario does not know.
+    /// Index into the scenario's parishes; `None` if the parish is not in the scenario.
     pub parish: Option<u32>,
-    /// Slots that it takes.
+    /// Number of slots that the job occupies.
     pub slots: u32,
-    /// Its running time at speed 1.
+    /// Running time at speed 1, in microseconds.
     pub work: Micros,
-    /// How long its client waits.
+    /// How long the client waits over all its tries, in microseconds.
     pub deadline: Micros,
-    /// The subject: the object that it needs.
+    /// Name of the object that the job needs.
     pub subject: String,
-    /// The number of the client in its parish.
-    pub office: u32,
-    /// Recorded retries: how long after the first try each was sent.
+    /// Number of the client within its parish.
+    pub client: u32,
+    /// Recorded retries: the time of each after the first try, in microseconds. Empty for generated load.
     pub retries: Vec<Micros>,
 }
 
-/// A class's running times.
-enum Times {
+/// The distribution of a class's running times, in microseconds.
+enum RunTimes {
     Lognormal(LogNormal<f64>),
     Exponential(Exp<f64>),
 }
 
-impl Times {
+impl RunTimes {
     fn new(class: &crate::scenario::Class) -> Result<Self, ReplayError> {
         // The mean of a lognormal is exp(mu + sigma^2 / 2), its coefficient of variation sqrt(exp(sigma^2) - 1).
         let (mean, sigma) = (class.work_ms * 1e3, (1.0 + class.cv * class.cv).ln().sqrt());
-        let bad = |reason: String| ReplayError::RunTimes {
+        let invalid = |reason: String| ReplayError::RunTimes {
             class: class.name.clone(),
             reason,
         };
         Ok(match class.spread {
             Spread::Lognormal => {
                 let made = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
-                Times::Lognormal(made.map_err(|e| bad(e.to_string()))?)
+                RunTimes::Lognormal(made.map_err(|e| invalid(e.to_string()))?)
             }
             Spread::Exponential => {
-                Times::Exponential(Exp::new(1.0 / mean).map_err(|e| bad(e.to_string()))?)
+                RunTimes::Exponential(Exp::new(1.0 / mean).map_err(|e| invalid(e.to_string()))?)
             }
         })
     }
 
     fn sample(&self, rng: &mut Pcg64Mcg) -> f64 {
         match self {
-            Times::Lognormal(of) => of.sample(rng),
-            Times::Exponential(of) => of.sample(rng),
+            RunTimes::Lognormal(distribution) => distribution.sample(rng),
+            RunTimes::Exponential(distribution) => distribution.sample(rng),
         }
     }
 }
 
-/// Draws what no recording holds: the running time, and the slots where they are unknown.
-pub struct Draws {
-    work: Vec<Times>,
+/// Draws the properties of a job that recordings do not hold: the running time and, if unknown, the slots.
+pub struct JobSampler {
+    work: Vec<RunTimes>,
     seed: u64,
 }
 
-impl Draws {
-    /// For a scenario; `seed` is the run's.
+impl JobSampler {
+    /// Creates the distributions of a scenario's classes; `seed` is the seed of the run.
     ///
     /// # Errors
-    /// A class's running times cannot be drawn.
+    /// The distribution of a class's running times is invalid.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<Self, ReplayError> {
         let work = scenario
             .classes
             .iter()
-            .map(Times::new)
+            .map(RunTimes::new)
             .collect::<Result<_, _>>()?;
-        Ok(Draws { work, seed })
+        Ok(JobSampler { work, seed })
     }
 
-    /// Running time and slots of a job.
-    pub fn job(
+    /// Returns the running time of a job, limited to 0.1 ms to 60 s, and its slots, which are drawn unless `slots` is given.
+    pub fn sample(
         &self,
         scenario: &Scenario,
         number: u64,
@@ -100,13 +100,13 @@
             .sample(&mut rng)
             .clamp(100.0, 60e6) as Micros;
         let shares = &scenario.classes[class as usize].slots;
-        let drawn = 1 << pick(shares, unit(&mut rng));
+        let drawn = 1 << weighted_index(shares, unit(&mut rng));
         (work, slots.unwrap_or(drawn))
     }
 }
 
-/// The index that a uniform draw picks among weights.
-pub fn pick(weights: &[f64], draw: f64) -> usize {
+/// Returns the index that a uniform `draw` in [0, 1) selects by weight.
+pub fn weighted_index(weights: &[f64], draw: f64) -> usize {
     let all: f64 = weights.iter().sum();
     let mut left = draw * all;
     for (n, w) in weights.iter().enumerate() {
@@ -118,13 +118,15 @@
     weights.len().saturating_sub(1)
 }
 
-/// Load generated as the scenario states.
+/// Load generated by the scenario's random process.
 pub struct Made<'a> {
     scenario: &'a Scenario,
-    draws: Draws,
+    sampler: JobSampler,
     rng: Pcg64Mcg,
-    at: f64, // seconds
-    most: f64,
+    /// Time of the last candidate arrival, in seconds after the start of the scenario.
+    at_s: f64,
+    /// Upper bound of the rate, for thinning.
+    max_rate: f64,
     number: u64,
     zipf: Zipf<f64>,
     classes: Vec<f64>,
@@ -132,10 +134,10 @@
 }
 
 impl<'a> Made<'a> {
-    /// Load generated from a seed.
+    /// Creates the load of a seed.
     ///
     /// # Errors
-    /// What in the scenario cannot be drawn from.
+    /// The scenario states no load, or an invalid distribution.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Result<Self, ReplayError> {
         let load = &scenario.load;
         if !(load.rate > 0.0 && load.seconds > 0.0) {
@@ -148,10 +150,10 @@
         );
         Ok(Made {
             scenario,
-            draws: Draws::new(scenario, seed)?,
+            sampler: JobSampler::new(scenario, seed)?,
             rng: draw(seed, u64::MAX, 0x10ad),
-            at: 0.0,
-            most: load.rate * (1.0 + load.swing) * jumps,
+            at_s: 0.0,
+            max_rate: load.rate * (1.0 + load.swing) * jumps,
             number: 0,
             zipf: zipf.context(SubjectsSnafu)?,
             classes: scenario.classes.iter().map(|c| c.weight).collect(),
@@ -163,12 +165,13 @@
         })
     }
 
-    /// The hot thing that this job is about, if any: its draws are its own, so that others stay as they are.
-    fn hot(&self) -> Option<u32> {
-        let mut rng = draw(self.draws.seed, self.number, 0x407);
+    /// Returns the index of the hot object that the current job needs, if any. It uses a generator of its own, so that the
+    /// fault does not change any other draw.
+    fn hot_object(&self) -> Option<u32> {
+        let mut rng = draw(self.sampler.seed, self.number, 0x407);
         self.scenario.faults.iter().find_map(|t| match t.what {
             FaultKind::HotThings { fraction, things }
-                if (t.at_s..t.at_s + t.for_s).contains(&self.at) && unit(&mut rng) < fraction =>
+                if (t.at_s..t.at_s + t.for_s).contains(&self.at_s) && unit(&mut rng) < fraction =>
             {
                 Some((unit(&mut rng) * f64::from(things.max(1))) as u32)
             }
@@ -176,7 +179,7 @@
         })
     }
 
-    /// First tries a second at a moment.
+    /// Returns the rate of first tries per second at `t` seconds after the start.
     fn rate(&self, t: f64) -> f64 {
         let load = &self.scenario.load;
         let swing = match load.swing_s > 0.0 {
@@ -206,34 +209,34 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
-            // Thinning (Lewis and Shedler 1979).
-            self.at += -(1.0 - unit(&mut self.rng)).ln() / self.most;
-            if self.at >= self.scenario.load.seconds {
+            // Samples the non-homogeneous Poisson process by thinning (Lewis and Shedler 1979).
+            self.at_s += -(1.0 - unit(&mut self.rng)).ln() / self.max_rate;
+            if self.at_s >= self.scenario.load.seconds {
                 return None;
             }
-            if unit(&mut self.rng) * self.most < self.rate(self.at) {
+            if unit(&mut self.rng) * self.max_rate < self.rate(self.at_s) {
                 break;
             }
         }
-        let class = pick(&self.classes, unit(&mut self.rng)) as u32;
-        let parish = pick(&self.parishes, unit(&mut self.rng)) as u32;
-        let (work, slots) = self.draws.job(self.scenario, self.number, class, None);
-        let about = self.zipf.sample(&mut self.rng) as u64;
-        let subject = match self.hot() {
+        let class = weighted_index(&self.classes, unit(&mut self.rng)) as u32;
+        let parish = weighted_index(&self.parishes, unit(&mut self.rng)) as u32;
+        let (work, slots) = self.sampler.sample(self.scenario, self.number, class, None);
+        let object = self.zipf.sample(&mut self.rng) as u64;
+        let subject = match self.hot_object() {
             Some(n) => format!("hot-{n}"),
-            None => format!("kit-{about}"),
+            None => format!("kit-{object}"),
         };
         let offices = f64::from(self.scenario.clients.offices.max(1));
         let arrival = Arrival {
             number: self.number,
-            at: self.scenario.from() + (self.at * 1e6) as Micros,
+            at: self.scenario.from() + (self.at_s * 1e6) as Micros,
             class,
             parish: Some(parish),
             slots,
             work,
             deadline: self.scenario.classes[class as usize].deadline(),
             subject,
-            office: (unit(&mut self.rng) * offices) as u32,
+            client: (unit(&mut self.rng) * offices) as u32,
             retries: Vec::new(),
         };
         self.number += 1;
@@ -241,19 +244,19 @@
     }
 }
 
-/// Load read from a recording. What it does not hold (running times) is drawn as the scenario states.
+/// Load read from a recording. Running times, which it does not hold, are drawn from the scenario's distributions.
 pub struct Recorded<'a, R> {
     scenario: &'a Scenario,
-    draws: Draws,
+    sampler: JobSampler,
     from: recording::Reader<R>,
     number: u64,
 }
 
 impl<'a, R: BufRead> Recorded<'a, R> {
-    /// From a recording.
+    /// Creates the load of a recording; `seed` is for the running times.
     ///
     /// # Errors
-    /// What in the scenario cannot be drawn from.
+    /// The scenario states no load, or an invalid distribution.
     pub fn new(
         scenario: &'a Scenario,
         from: recording::Reader<R>,
@@ -261,7 +264,7 @@
     ) -> Result<Self, ReplayError> {
         Ok(Recorded {
             scenario,
-            draws: Draws::new(scenario, seed)?,
+            sampler: JobSampler::new(scenario, seed)?,
             from,
             number: 0,
         })
@@ -296,7 +299,9 @@
             Err(e) => return Some(Err(e)),
         };
         let slots = job.slots.map(|s| (s.ceil() as u32).max(1));
-        let (work, slots) = self.draws.job(self.scenario, self.number, class, slots);
+        let (work, slots) = self
+            .sampler
+            .sample(self.scenario, self.number, class, slots);
         let deadline = job
             .deadline
             .map_or(self.scenario.classes[class as usize].deadline(), |d| {
@@ -316,7 +321,7 @@
             work,
             deadline,
             subject: job.subject,
-            office: (job.client % 65_536) as u32,
+            client: (job.client % 65_536) as u32,
             retries: job
                 .retries
                 .iter()
