--- a/crates/control-plane/src/core_member/head_transitions.rs
+++ b/crates/control-plane/src/core_member/head_transitions.rs
@@ -30,7 +30,7 @@
 }
 
 impl CoreMember {
-    /// Handles that this member has become the head of `view`.
+    /// Handles this member becoming the head of `view`.
     pub(super) fn head_gained(&mut self, clocks: Clocks, view: ViewNumber) {
         if self.is_head() {
             self.head_lost(clocks, HeadLossReason::Regained);
@@ -40,7 +40,7 @@
         self.request_rows(clocks);
     }
 
-    /// Handles a change to `view` in which this member is still the head.
+    /// Handles the view change to `view`, in which this member stays the head.
     pub(super) fn head_renewed(&mut self, clocks: Clocks, view: ViewNumber) {
         log::info!("still head after a view change view={view}");
         self.head_role.renew(view);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Starts the head of `view` with the rows that were read. From now on this member is the acting head while its lease holds.
+    /// Starts the [`ActingHead`] of `view` with the rows that were read. From now on this member is the acting head while its lease holds.
     pub(super) fn rows_loaded(&mut self, clocks: Clocks, view: ViewNumber, rows: Vec<StoredRow>) {
         if !self.head_role.is_loading(view) {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Handles the commit of a write: it is on the disks of the whole chain.
+    /// Handles the commit of a write, which the whole chain has on disk now.
     pub(super) fn write_committed(&mut self, clocks: Clocks, write_id: SubmissionId) {
         self.head_role.write_resolved(write_id);
         let Some(head) = self.head_role.leading_mut() else {
--- a/crates/control-plane/src/core_member/lease_filter.rs
+++ b/crates/control-plane/src/core_member/lease_filter.rs
@@ -1,4 +1,4 @@
-//! Replaces outputs that only an acting head may send, for use once the lease has expired.
+//! Replaces the outputs that only an acting head may send, once the head's lease has expired.
 
 use super::interface::Output;
 use crate::config_authority::ChangeResponse;
--- a/crates/control-plane/src/core_member/scrub.rs
+++ b/crates/control-plane/src/core_member/scrub.rs
@@ -1,4 +1,5 @@
-//! Background scrub: compares all rows on this member's disk with their checksums, a few at a time and over and over again.
+//! Background scrub: compares all rows on this member's disk with their checksums, a few
+//! rows at a time. It starts over at the end of the table.
 
 use crate::storage_thread::StorageRequest;
 use indigofold_replication::StorageError;
--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -344,7 +344,9 @@
         }
     }
 
-    /// Marks the current instance, and one known only from the head's orders, as ended once all leases have expired.
+    /// Marks the current instance as ended once all leases granted to it have expired. Does the same for the instance
+    /// that the head's orders name but that has sent no heartbeat to this process, once the leases that a previous agent
+    /// process may have granted to it have expired.
     fn expire_unresponsive(&mut self, now_ms: u64) {
         let changed = self.former.expire_unknown(now_ms);
         self.schedule.expedite_if(changed);
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -1,4 +1,4 @@
-//! Clients' calls in progress: sent to the acting head, resent to its successor, answered or timed out.
+//! Clients' calls in progress: sent to the acting head, resent to the next head, answered or timed out.
 
 use super::answer::{Answer, RETRY_DEFAULT_MS};
 use super::request::ParsedRequest;
--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -18,9 +18,9 @@
     pub view: Option<View>,
     /// Whether that view is known to be agreed: accepted by a majority of its voters and of `previous_voters`.
     pub agreed: bool,
-    /// State of the member's rows.
+    /// Viewstamp of the member's rows: it identifies the last write that they contain.
     pub viewstamp: Viewstamp,
-    /// Views that led to this state, oldest first; at most [`HISTORY_MAX`](crate::timing::HISTORY_MAX) of them.
+    /// Views that led to this viewstamp, oldest first; at most [`HISTORY_MAX`](crate::timing::HISTORY_MAX) of them.
     pub history: Vec<ViewStart>,
     /// Tombstones of rows deleted at or before this sequence number have been dropped.
     pub trimmed: u64,
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -77,14 +77,14 @@
     },
     /// Writes to store, sent down the chain or resent by the head.
     Write(Write),
-    /// The sender has this state on disk.
+    /// Reports the viewstamp of the rows on the sender's disk to the head.
     Stored {
-        /// State on the sender's disk.
+        /// Viewstamp of the rows on the sender's disk.
         viewstamp: Viewstamp,
     },
     /// The sender has received a write but lacks earlier ones.
     WriteGap {
-        /// State of the sender's rows, without the missing writes.
+        /// Viewstamp of the sender's rows, which do not contain the missing writes.
         viewstamp: Viewstamp,
     },
     /// Requests rows.
@@ -99,7 +99,7 @@
 pub struct PreVote {
     /// ID of this request; the answer carries it.
     pub request_id: u64,
-    /// State of the sender's rows.
+    /// Viewstamp of the sender's rows.
     pub viewstamp: Viewstamp,
     /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
     pub headed_view: ViewNumber,
@@ -129,7 +129,7 @@
     pub view: Option<View>,
     /// Whether the sender knows that this view is agreed.
     pub agreed: bool,
-    /// State of the sender's rows.
+    /// Viewstamp of the sender's rows.
     pub viewstamp: Viewstamp,
     /// Whether the sender is about to stop.
     pub draining: bool,
@@ -155,7 +155,7 @@
     pub number: ViewNumber,
     /// `sent_ms` of the answered heartbeat.
     pub sent_ms: u64,
-    /// State on the sender's disk.
+    /// Viewstamp of the rows on the sender's disk.
     pub viewstamp: Viewstamp,
     /// Age of the sender's oldest unfinished store, in milliseconds; 0 if there is none.
     pub store_age_ms: u64,
@@ -181,7 +181,7 @@
 pub struct Fetch {
     /// ID of the transfer; the answers carry it.
     pub request_id: u64,
-    /// State of the sender's rows.
+    /// Viewstamp of the sender's rows.
     pub viewstamp: Viewstamp,
     /// Sequence number after which the transfer continues; `None` in the first request of a transfer.
     pub after: Option<u64>,
@@ -200,9 +200,9 @@
     pub rows: Vec<Row>,
     /// Whether more chunks follow.
     pub more: bool,
-    /// State that the receiver reaches with the last chunk.
+    /// Viewstamp that the receiver's rows have after the last chunk.
     pub viewstamp: Viewstamp,
-    /// Views that led to this state, oldest first.
+    /// Views that led to this viewstamp, oldest first.
     pub history: Vec<ViewStart>,
 }
 
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -126,7 +126,7 @@
         record.view.as_ref().map(|view| (view, record.agreed))
     }
 
-    /// Returns the state of the rows on disk.
+    /// Returns the viewstamp of the rows on disk.
     pub fn stored_viewstamp(&self) -> Viewstamp {
         self.context.stores.stored_viewstamp()
     }
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -5,7 +5,7 @@
 use crate::types::{Member, View, ViewNumber, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Phase of a campaign, by what the candidate waits for.
+/// Phase of a campaign. Each variant describes the answers or rows that the candidate waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     /// Answers to the pre-vote from a majority.
@@ -34,7 +34,7 @@
     pub chain: Vec<Member>,
 }
 
-/// The newest state among those of the members that have promised.
+/// The newest state among those of the members that have promised the number of the campaign.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::replica) struct NewestState {
     pub viewstamp: Viewstamp,
@@ -64,7 +64,7 @@
     majority_ms: Option<u64>,
     /// When the current phase times out.
     deadline_ms: u64,
-    /// Change to the view; `None` for a candidate that is not the head.
+    /// Voters and chain for the next view; `None` for a candidate that is not the head.
     plan: Option<Plan>,
 }
 
@@ -197,7 +197,7 @@
         true
     }
 
-    /// Returns the number to prepare after the pre-vote: above all that the candidate knows of.
+    /// Returns the number to prepare after the pre-vote: one above the highest that the candidate knows of.
     pub(super) fn next_number(&self) -> ViewNumber {
         self.promised.max(self.known.number).next()
     }
@@ -306,7 +306,7 @@
             .all(|electorate| is_majority(electorate, &self.agreed))
     }
 
-    /// Returns true if so many voters have rejected the request that a majority is impossible.
+    /// Returns true if so many voters have rejected the request that the candidate cannot reach a majority.
     pub(super) fn cannot_win(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
             let rejected = electorate.iter().filter(|m| self.rejected.contains(m));
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,5 +1,5 @@
-//! A chain member that is not the head: it stores writes in order, relays them to its successor and reports to the
-//! head.
+//! A chain member that is not the head: it stores writes in order, relays them to its successor in the chain
+//! and reports to the head.
 //!
 //! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole
 //! chain has them on disk. Unlike there, each member reports to the head, which answers the clients. This module keeps
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reports the state on this member's disk to the head, if this member is in the chain of an agreed view and has taken
+/// Reports the viewstamp on this member's disk to the head, if this member is in the chain of an agreed view and has taken
 /// over its first state.
 pub(super) fn report_stored(context: &mut Context) {
     let viewstamp = context.stores.stored_viewstamp();
--- a/crates/replication/src/replica/head/commit.rs
+++ b/crates/replication/src/replica/head/commit.rs
@@ -7,7 +7,7 @@
 use crate::types::{Member, Viewstamp};
 
 impl Head {
-    /// Handles a member's report of the state on its disk.
+    /// Handles a member's report of the viewstamp on its disk.
     pub(in crate::replica) fn handle_stored(
         &mut self,
         context: &mut Context,
@@ -19,7 +19,7 @@
         let Some(peer) = leadership.and_then(|leadership| leadership.peer_mut(from)) else {
             return;
         };
-        // Ignores a report of a state that this head has never sent.
+        // Ignores a report of a viewstamp that this head has never sent.
         if viewstamp > context.record.viewstamp {
             return;
         }
@@ -27,7 +27,7 @@
         self.count_stored(context, is_campaigning);
     }
 
-    /// Counts a new state on the head's own disk.
+    /// Counts a new viewstamp on the head's own disk.
     pub(in crate::replica) fn handle_own_stored(
         &mut self,
         context: &mut Context,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Commits the writes that the whole chain has on disk, and establishes the view when the chain first has its first
-    /// state.
+    /// Commits the writes that the whole chain has on disk, and establishes the view once all members of the
+    /// chain have taken over the view's first state.
     pub(super) fn count_stored(&mut self, context: &mut Context, is_campaigning: bool) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -58,7 +58,7 @@
         self.report_view(context);
     }
 
-    /// Establishes the view, since the whole chain has its first state: from now on its voters decide alone. The next
+    /// Establishes the view, since the whole chain has taken over the view's first state: from now on its voters decide alone. The next
     /// heartbeats announce this.
     fn establish_view(&mut self, context: &mut Context, is_campaigning: bool) {
         let Some(leadership) = &mut self.leadership else {
--- a/crates/replication/src/replica/head/leadership.rs
+++ b/crates/replication/src/replica/head/leadership.rs
@@ -35,7 +35,7 @@
     writes: WriteQueue,
     /// When the next heartbeats are due.
     heartbeat_ms: u64,
-    /// State on the head's own disk.
+    /// Viewstamp of the rows on the head's own disk.
     own_viewstamp: Viewstamp,
 }
 
@@ -188,7 +188,7 @@
         now_ms > until_ms.saturating_add(LEASE_MS)
     }
 
-    /// Sets the state on the head's own disk.
+    /// Sets the viewstamp of the rows on the head's own disk.
     pub(super) fn set_own_viewstamp(&mut self, viewstamp: Viewstamp) {
         self.own_viewstamp = viewstamp;
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Returns the state on the disk of `member`, as far as it has been reported.
+    /// Returns the newest viewstamp that `member` has reported for the rows on its disk.
     pub(super) fn viewstamp_of(&self, member: Member) -> Viewstamp {
         if member == self.own {
             return self.own_viewstamp;
--- a/crates/replication/src/replica/head/peer.rs
+++ b/crates/replication/src/replica/head/peer.rs
@@ -3,10 +3,10 @@
 use crate::timing::{REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS, RESEND_AFTER_MS};
 use crate::types::Viewstamp;
 
-/// State that a member reports with its answer to a heartbeat.
+/// Report of a member in its answer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerReport {
-    /// State on the member's disk.
+    /// Viewstamp of the rows on the member's disk.
     pub viewstamp: Viewstamp,
     /// Age of the member's oldest unfinished store, in milliseconds; 0 if there is none.
     pub store_age_ms: u64,
@@ -35,7 +35,8 @@
 }
 
 impl Peer {
-    /// Creates the entry of a member that the head has just learned of; it counts as heard of now.
+    /// Creates the entry of a member that the head has just learned of; `now_ms` counts as the time of its last
+    /// message.
     pub(super) fn new(now_ms: u64) -> Peer {
         Peer {
             granted_ms: None,
@@ -64,7 +65,8 @@
         now_ms.saturating_sub(self.last_received_ms)
     }
 
-    /// Records a state on the member's disk. Messages may overtake each other, so an older state changes nothing.
+    /// Records the viewstamp on the member's disk. Messages may overtake each other, so an older viewstamp changes
+    /// nothing.
     pub(super) fn record_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
         self.last_received_ms = now_ms;
         self.report.viewstamp = self.report.viewstamp.max(viewstamp);
@@ -79,7 +81,8 @@
             ..report
         };
     }
-    /// Resets what applies only to the previous view, when the head leads a new one.
+
+    /// Resets the flags that apply only to the previous view; called when the head leads a new one.
     pub(super) fn enter_view(&mut self) {
         self.has_promised_later = false;
         self.needs_direct_writes = false;
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -114,7 +114,7 @@
             .collect()
     }
 
-    /// Returns the voters from which nothing has been received for `for_ms`, those silent longest first.
+    /// Returns the voters that have sent nothing for at least `for_ms`, the longest silent one first.
     fn unresponsive_voters(&self, for_ms: u64) -> Vec<Member> {
         let since_received_ms = |voter: Member| {
             self.peer(voter)
@@ -129,9 +129,9 @@
         unresponsive
     }
 
-    /// Returns a voter to remove while there are more than required. With an even number: an unresponsive one, or one
-    /// outside the chain, or the last of the chain. With an odd number: one of several unresponsive voters, or a single
-    /// one after [`REMOVE_LONE_AFTER_MS`].
+    /// Returns a voter to remove while there are more voters than required. If the number of voters is even, this is an
+    /// unresponsive voter, or else one outside the chain, or else the last of the chain. If it is odd, this is one of
+    /// several unresponsive voters, or a single one that has been unresponsive for [`REMOVE_LONE_AFTER_MS`].
     fn surplus_voter(&self) -> Option<Member> {
         let view = self.leadership.view();
         if view.voters.len() <= self.settings.voters_min() {
@@ -160,7 +160,7 @@
     }
 
     /// Returns true if a member outside the chain could join it: it has nearly all of the head's rows, is responsive
-    /// with a fast disk, and does not drain.
+    /// with a fast disk, and is not draining.
     fn is_fit(&self, peer: &Peer) -> bool {
         let viewstamp = peer.report().viewstamp;
         viewstamp.view == self.leadership.view().number
--- a/crates/replication/src/replica/head/reconfiguration.rs
+++ b/crates/replication/src/replica/head/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Schedules a head's changes of its view and chooses their numbers. [`Planner`] decides on voters and chain.
+//! Schedules the view changes that a head starts, and chooses the numbers of the new views. [`Planner`] chooses the
+//! voters and the chain.
 
 use super::Head;
 use super::planner::Planner;
@@ -28,7 +29,7 @@
     }
 }
 
-/// A change of the view that is due.
+/// A view change that the head starts now.
 #[derive(Debug)]
 pub(in crate::replica) struct ViewChange {
     /// Number of the new view.
@@ -38,8 +39,8 @@
 }
 
 impl Head {
-    /// Returns the change that the view needs, if it may be changed now. Members that it drops from the chain are
-    /// excluded for a while.
+    /// Returns the view change that is needed, if one may start now. Members that the change drops from the chain are
+    /// excluded from it for a while.
     pub(in crate::replica) fn due_view_change(&mut self, context: &Context) -> Option<ViewChange> {
         let now_ms = context.now_ms();
         let leadership = self.leadership.as_mut()?;
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -29,7 +29,7 @@
 /// Result of a store that is on disk.
 #[derive(Debug)]
 pub(super) struct Finished {
-    /// Whether the store has changed the state of the rows.
+    /// Whether the store has changed the viewstamp of the rows.
     pub has_new_rows: bool,
     /// Actions that waited for the store.
     pub after: Vec<AfterStore>,
@@ -47,7 +47,7 @@
 /// The store under way, and the changes collected for the next one.
 #[derive(Debug)]
 pub(super) struct StoreQueue {
-    /// State of the rows on disk.
+    /// Viewstamp of the rows on disk.
     stored_viewstamp: Viewstamp,
     /// Number of the view accepted last, as it is on disk; 0 before the first.
     stored_view: ViewNumber,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the state of the rows on disk.
+    /// Returns the viewstamp of the rows on disk.
     pub(super) fn stored_viewstamp(&self) -> Viewstamp {
         self.stored_viewstamp
     }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Returns rows that changed after `since`, about `bytes_max` bytes of them, with the state of the table.
+    /// Returns rows that changed after `since`, about `bytes_max` bytes of them, with the viewstamp of the table.
     ///
     /// # Errors
     ///
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -57,7 +57,7 @@
     pub seq: u64,
 }
 
-/// The point at which a view began: the state that it took over.
+/// The point at which a view began, which is the last write that the view took over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewStart {
     /// Number of the view.
@@ -174,8 +174,8 @@
     pub rows: Vec<Row>,
     /// Whether more rows follow after the sequence number of the last row in this chunk.
     pub more: bool,
-    /// State of the table from which the rows were read.
+    /// Viewstamp of the table from which the rows were read.
     pub viewstamp: Viewstamp,
-    /// Views that led to that state, oldest first.
+    /// Views that led to that viewstamp, oldest first.
     pub history: Vec<ViewStart>,
 }
