--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -50,24 +50,32 @@
     }
 
     /// Adds or updates a member's addresses; returns false if nothing changed. At most [`ADDRESSES_MAX`] entries are
-    /// kept: beyond that, the oldest one that belongs neither to a voter nor to this member (`own`) is removed.
-    pub(crate) fn learn_address(&mut self, address: MemberAddress, own: SocketAddr) -> bool {
+    /// kept: beyond that, the oldest one that belongs neither to a voter nor to this member (`own_address`) is
+    /// removed.
+    pub(crate) fn learn_address(
+        &mut self,
+        address: MemberAddress,
+        own_address: SocketAddr,
+    ) -> bool {
         let mut addresses = self.addresses.iter_mut();
-        if let Some(known) = addresses.find(|known| known.internal == address.internal) {
-            let is_changed = *known != address;
-            *known = address;
+        if let Some(known_address) =
+            addresses.find(|known_address| known_address.internal == address.internal)
+        {
+            let is_changed = *known_address != address;
+            *known_address = address;
             return is_changed;
         }
         self.addresses.push(address);
         if self.addresses.len() > ADDRESSES_MAX {
-            self.forget_surplus_address(own);
+            self.forget_surplus_address(own_address);
         }
         true
     }
 
-    fn forget_surplus_address(&mut self, own: SocketAddr) {
+    fn forget_surplus_address(&mut self, own_address: SocketAddr) {
         let voters: Vec<SocketAddr> = self.voter_addresses().collect();
-        let is_surplus = |a: &MemberAddress| a.internal != own && !voters.contains(&a.internal);
+        let is_surplus =
+            |a: &MemberAddress| a.internal != own_address && !voters.contains(&a.internal);
         if let Some(position) = self.addresses.iter().position(is_surplus) {
             self.addresses.remove(position);
         }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -99,7 +99,7 @@
     pub fn next_timer_ms(&self) -> u64 {
         let is_campaigning = self.candidate.is_campaigning();
         let due = [
-            self.context.stores.retry_ms(),
+            self.context.stores.retry_due_ms(),
             self.announcement_due_ms(),
             self.election_due_ms(),
             self.head.due_ms(&self.context, is_campaigning),
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -25,12 +25,15 @@
 pub(super) enum CampaignStep {
     /// The campaign waits for answers, or none is under way.
     Wait,
-    /// A majority would vote for this member: it asks for promises for `number`, on top of the view `known`.
-    Prepare { number: ViewNumber, known: View },
+    /// A majority would vote for this member: it asks for promises for `number`, on top of the view `known_view`.
+    Prepare {
+        number: ViewNumber,
+        known_view: View,
+    },
     /// The newest state has to be fetched from another member first.
     Fetch {
         number: ViewNumber,
-        newest: NewestState,
+        newest_state: NewestState,
     },
     /// No majority is possible, or no view can be proposed: the campaign has failed.
     Fail,
@@ -41,15 +44,15 @@
 pub(super) struct Candidate {
     campaign: Option<Campaign>,
     /// When to start the next campaign; heartbeats postpone it.
-    campaign_at_ms: u64,
+    campaign_due_ms: u64,
 }
 
 impl Candidate {
-    /// Creates the state of a member that campaigns at `campaign_at_ms` unless a heartbeat arrives before.
-    pub(super) fn new(campaign_at_ms: u64) -> Candidate {
+    /// Creates the state of a member that campaigns at `campaign_due_ms` unless a heartbeat arrives before.
+    pub(super) fn new(campaign_due_ms: u64) -> Candidate {
         Candidate {
             campaign: None,
-            campaign_at_ms,
+            campaign_due_ms,
         }
     }
 
@@ -70,8 +73,8 @@
     }
 
     /// Returns when the next campaign is due.
-    pub(super) fn campaign_at_ms(&self) -> u64 {
-        self.campaign_at_ms
+    pub(super) fn campaign_due_ms(&self) -> u64 {
+        self.campaign_due_ms
     }
 
     /// Returns true if the current phase of the campaign has timed out.
@@ -89,49 +92,49 @@
     /// this member resumes as the head.
     pub(super) fn fail(&mut self, context: &mut Context, is_resuming: bool) {
         self.campaign = None;
-        self.campaign_at_ms = if is_resuming {
+        self.campaign_due_ms = if is_resuming {
             context.now_ms() + RESUME_CAMPAIGN_INTERVAL_MS
         } else {
             context.now_ms() + BACKOFF_MS + context.random_below(BACKOFF_SPREAD_MS)
         };
     }
 
-    /// Schedules the next campaign at a random time, up to [`BACKOFF_SPREAD_MS`] after `from_ms`.
-    pub(super) fn postpone_beyond(&mut self, context: &mut Context, from_ms: u64) {
-        self.campaign_at_ms = from_ms + context.random_below(BACKOFF_SPREAD_MS);
+    /// Schedules the next campaign at a random time, up to [`BACKOFF_SPREAD_MS`] after `earliest_ms`.
+    pub(super) fn postpone_beyond(&mut self, context: &mut Context, earliest_ms: u64) {
+        self.campaign_due_ms = earliest_ms + context.random_below(BACKOFF_SPREAD_MS);
     }
 
-    /// Schedules the next campaign at `campaign_at_ms`.
-    pub(super) fn postpone_until(&mut self, campaign_at_ms: u64) {
-        self.campaign_at_ms = campaign_at_ms;
+    /// Schedules the next campaign at `campaign_due_ms`.
+    pub(super) fn postpone_until(&mut self, campaign_due_ms: u64) {
+        self.campaign_due_ms = campaign_due_ms;
     }
 
     /// Gives up the campaign for a head to which this member is bound until `until_ms`. The member campaigns after that
     /// time unless another heartbeat arrives.
     pub(super) fn yield_to_head(&mut self, context: &mut Context, until_ms: u64, in_chain: bool) {
         self.campaign = None;
-        let extra_ms = if in_chain {
+        let extra_delay_ms = if in_chain {
             0
         } else {
             BACKOFF_OUTSIDE_CHAIN_MS
         };
-        self.postpone_beyond(context, until_ms + extra_ms);
+        self.postpone_beyond(context, until_ms + extra_delay_ms);
     }
 
     /// Gives up the campaign for a candidate that has been granted a pre-vote, and leaves it time for its own.
     pub(super) fn yield_to_pre_vote(&mut self, context: &mut Context) {
         self.campaign = None;
-        self.yield_for(context, PRE_VOTE_HOLD_MS);
+        self.defer_campaign(context, PRE_VOTE_HOLD_MS);
     }
 
     /// Postpones the next campaign for a candidate that has received a promise, to leave it time for its own.
     pub(super) fn yield_to_prepare(&mut self, context: &mut Context) {
-        self.yield_for(context, PREPARED_DEFER_MS);
+        self.defer_campaign(context, PREPARED_DEFER_MS);
     }
 
-    fn yield_for(&mut self, context: &mut Context, time_ms: u64) {
-        let until_ms = context.now_ms() + time_ms + context.random_below(BACKOFF_SPREAD_MS);
-        self.campaign_at_ms = self.campaign_at_ms.max(until_ms);
+    fn defer_campaign(&mut self, context: &mut Context, duration_ms: u64) {
+        let due_ms = context.now_ms() + duration_ms + context.random_below(BACKOFF_SPREAD_MS);
+        self.campaign_due_ms = self.campaign_due_ms.max(due_ms);
     }
 
     /// Returns true if this member's own campaign has priority over one of `candidate`, whose rows are at `viewstamp`:
@@ -156,21 +159,22 @@
         is_resuming: bool,
     ) -> CampaignStep {
         let request_id = context.next_request_id();
-        let Some(known) = context.record.view.clone() else {
+        let Some(known_view) = context.record.view.clone() else {
             return CampaignStep::Wait;
         };
-        let wait_ms = if is_resuming {
+        let timeout_ms = if is_resuming {
             RESUME_PRE_VOTE_TIMEOUT_MS
         } else {
             PRE_VOTE_TIMEOUT_MS
         };
-        let own = context.own_member();
-        let mut campaign = Campaign::pre_vote(own, known, context.record.promised, request_id);
-        campaign.set_deadline(context.now_ms() + wait_ms);
+        let own_member = context.own_member();
+        let mut campaign =
+            Campaign::pre_vote(own_member, known_view, context.record.promised, request_id);
+        campaign.set_deadline(context.now_ms() + timeout_ms);
         self.campaign = Some(campaign);
         self.send_requests(context);
         if let Some(campaign) = &mut self.campaign {
-            campaign.count_vote(own);
+            campaign.count_vote(own_member);
         }
         self.decide_pre_vote(context.own_member())
     }
@@ -203,17 +207,18 @@
         step
     }
 
-    /// Asks the voters of `known` for promises for `number`; `plan` is the change that a head wants to make to its
-    /// view.
+    /// Asks the voters of `known_view` for promises for `number`; `plan` is the change that a head wants to make to
+    /// its view.
     pub(super) fn prepare(
         &mut self,
         context: &mut Context,
         number: ViewNumber,
-        known: View,
+        known_view: View,
         plan: Option<Plan>,
     ) {
         let promised = context.record.promised;
-        let mut campaign = Campaign::prepare(context.own_member(), known, promised, number, plan);
+        let mut campaign =
+            Campaign::prepare(context.own_member(), known_view, promised, number, plan);
         campaign.set_deadline(context.now_ms() + PHASE_TIMEOUT_MS);
         self.campaign = Some(campaign);
         context.record.promised = number;
@@ -240,20 +245,23 @@
     /// Proposes a view once the newest state is decided, or returns the member from which that state is to be fetched
     /// first.
     pub(super) fn decide_prepare(&mut self, context: &mut Context) -> CampaignStep {
-        let (own, now_ms) = (context.own_member(), context.now_ms());
+        let (own_member, now_ms) = (context.own_member(), context.now_ms());
         let Some(campaign) = &mut self.campaign else {
             return CampaignStep::Wait;
         };
-        let Some(newest) = campaign.decided_state(own, now_ms) else {
+        let Some(newest_state) = campaign.decided_state(own_member, now_ms) else {
             return CampaignStep::Wait;
         };
-        if newest.source == own {
-            return self.propose(context, newest.viewstamp);
+        if newest_state.source == own_member {
+            return self.propose(context, newest_state.viewstamp);
         }
         campaign.enter_fetch_phase();
         campaign.set_deadline(now_ms + PHASE_TIMEOUT_MS);
         let number = campaign.view_number();
-        CampaignStep::Fetch { number, newest }
+        CampaignStep::Fetch {
+            number,
+            newest_state,
+        }
     }
 
     /// Proposes the view `number`, for which the fetched state is on disk now.
@@ -275,12 +283,12 @@
         &mut self,
         from: Member,
         number: ViewNumber,
-        own: Member,
+        own_member: Member,
     ) -> Option<View> {
         let view = self
             .campaign
             .as_mut()?
-            .receive_accepted(from, number, own)?;
+            .receive_accepted(from, number, own_member)?;
         self.campaign = None;
         Some(view)
     }
@@ -318,13 +326,13 @@
     }
 
     /// Returns [`CampaignStep::Prepare`] once a majority would vote for this member.
-    fn decide_pre_vote(&self, own: Member) -> CampaignStep {
+    fn decide_pre_vote(&self, own_member: Member) -> CampaignStep {
         let Some(campaign) = self.campaign.as_ref().filter(|c| c.has_majority()) else {
             return CampaignStep::Wait;
         };
-        let (number, known) = (campaign.next_number(), campaign.known().clone());
-        if known.voters.contains(&own) {
-            CampaignStep::Prepare { number, known }
+        let (number, known_view) = (campaign.next_number(), campaign.known_view().clone());
+        if known_view.voters.contains(&own_member) {
+            CampaignStep::Prepare { number, known_view }
         } else {
             CampaignStep::Fail
         }
@@ -332,10 +340,10 @@
 
     /// Proposes a view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, context: &mut Context, base: Viewstamp) -> CampaignStep {
-        let own = context.own_member();
+        let own_member = context.own_member();
         let campaign = self.campaign.as_mut();
         let proposed = campaign.and_then(|campaign| {
-            let view = next_view(campaign, own, base, context.settings())?;
+            let view = next_view(campaign, own_member, base, context.settings())?;
             campaign.enter_propose_phase(view.clone());
             campaign.set_deadline(context.now_ms() + PHASE_TIMEOUT_MS);
             Some(view)
@@ -349,7 +357,7 @@
         let own_acceptance = AfterStore::OwnAccepted { number };
         context.stores.request_store_then(own_acceptance);
         let electorates = view.voters.iter().chain(&view.previous_voters);
-        let others: BTreeSet<Member> = electorates.copied().filter(|&m| m != own).collect();
+        let others: BTreeSet<Member> = electorates.copied().filter(|&m| m != own_member).collect();
         for member in others {
             context.send(member.internal, Message::Accept { view: view.clone() });
         }
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -20,7 +20,7 @@
 
 /// What a voter reports with its promise.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Promised {
+pub(super) struct PromiseReport {
     /// State of the voter's rows.
     pub viewstamp: Viewstamp,
     /// Whether the voter is about to stop.
@@ -50,18 +50,18 @@
     number: ViewNumber,
     /// View with the highest number that the candidate knows to have been accepted by any voter; updated from the
     /// answers.
-    known: View,
+    known_view: View,
     /// Highest number that the candidate knows to have been promised by any member.
     promised: ViewNumber,
     /// The candidate, and the voters to which the request of this phase has been sent.
-    requested: BTreeSet<Member>,
+    requested_members: BTreeSet<Member>,
     /// Members that have granted the request of this phase.
-    agreed: BTreeSet<Member>,
+    granting_members: BTreeSet<Member>,
     /// Members that have rejected the request of this phase.
-    rejected: BTreeSet<Member>,
-    promises: BTreeMap<Member, Promised>,
+    rejecting_members: BTreeSet<Member>,
+    promises: BTreeMap<Member, PromiseReport>,
     /// When a majority of promises was reached; `None` before.
-    majority_ms: Option<u64>,
+    majority_reached_ms: Option<u64>,
     /// When the current phase times out.
     deadline_ms: u64,
     /// Voters and chain for the next view; `None` for a candidate that is not the head.
@@ -71,21 +71,21 @@
 impl Campaign {
     /// Creates a campaign that begins with a pre-vote.
     pub(super) fn pre_vote(
-        own: Member,
-        known: View,
+        own_member: Member,
+        known_view: View,
         promised: ViewNumber,
         request_id: u64,
     ) -> Campaign {
         Campaign {
             phase: Phase::PreVote { request_id },
             number: ViewNumber::NONE,
-            known,
+            known_view,
             promised,
-            requested: BTreeSet::from([own]),
-            agreed: BTreeSet::new(),
-            rejected: BTreeSet::new(),
+            requested_members: BTreeSet::from([own_member]),
+            granting_members: BTreeSet::new(),
+            rejecting_members: BTreeSet::new(),
             promises: BTreeMap::new(),
-            majority_ms: None,
+            majority_reached_ms: None,
             deadline_ms: u64::MAX,
             plan: None,
         }
@@ -94,8 +94,8 @@
     /// Creates a campaign that asks for promises for `number`; `plan` is the change that a head wants to make to its
     /// view.
     pub(super) fn prepare(
-        own: Member,
-        known: View,
+        own_member: Member,
+        known_view: View,
         promised: ViewNumber,
         number: ViewNumber,
         plan: Option<Plan>,
@@ -104,7 +104,7 @@
             phase: Phase::Prepare,
             number,
             plan,
-            ..Campaign::pre_vote(own, known, promised, 0)
+            ..Campaign::pre_vote(own_member, known_view, promised, 0)
         }
     }
 
@@ -117,15 +117,15 @@
         self.number
     }
 
-    pub(super) fn known(&self) -> &View {
-        &self.known
+    pub(super) fn known_view(&self) -> &View {
+        &self.known_view
     }
 
     pub(super) fn plan(&self) -> Option<&Plan> {
         self.plan.as_ref()
     }
 
-    pub(super) fn promises(&self) -> &BTreeMap<Member, Promised> {
+    pub(super) fn promises(&self) -> &BTreeMap<Member, PromiseReport> {
         &self.promises
     }
 
@@ -144,9 +144,12 @@
 
     /// Returns when the campaign fails, or goes on without the missing promises.
     pub(super) fn due_ms(&self) -> u64 {
-        let majority_ms = self.majority_ms.filter(|_| self.phase == Phase::Prepare);
-        let more_due_ms = majority_ms.map_or(u64::MAX, |at| at + PREPARE_GRACE_MS);
-        self.deadline_ms.min(more_due_ms)
+        let majority_reached_ms = self
+            .majority_reached_ms
+            .filter(|_| self.phase == Phase::Prepare);
+        let grace_end_ms =
+            majority_reached_ms.map_or(u64::MAX, |reached_ms| reached_ms + PREPARE_GRACE_MS);
+        self.deadline_ms.min(grace_end_ms)
     }
 
     /// Returns the request of this phase and the voters to which it has not been sent yet, and marks them as requested;
@@ -169,14 +172,17 @@
             Phase::Fetch | Phase::Propose { .. } => return None,
         };
         let voters: BTreeSet<Member> = self.electorates().into_iter().flatten().copied().collect();
-        let new: Vec<Member> = voters.difference(&self.requested).copied().collect();
-        self.requested.extend(&new);
-        Some((message, new))
+        let new_voters: Vec<Member> = voters
+            .difference(&self.requested_members)
+            .copied()
+            .collect();
+        self.requested_members.extend(&new_voters);
+        Some((message, new_voters))
     }
 
     /// Counts a member that grants the request of this phase.
     pub(super) fn count_vote(&mut self, from: Member) {
-        self.agreed.insert(from);
+        self.granting_members.insert(from);
     }
 
     /// Records an answer to the pre-vote; returns false if it belongs to another one.
@@ -187,19 +193,19 @@
         }
         self.promised = self.promised.max(reply.promised);
         if let Some(view) = reply.view {
-            self.learn(view);
+            self.learn_view(view);
         }
         if reply.granted {
-            self.agreed.insert(from);
+            self.granting_members.insert(from);
         } else {
-            self.rejected.insert(from);
+            self.rejecting_members.insert(from);
         }
         true
     }
 
     /// Returns the number to prepare after the pre-vote: one above the highest that the candidate knows of.
     pub(super) fn next_number(&self) -> ViewNumber {
-        self.promised.max(self.known.number).next()
+        self.promised.max(self.known_view.number).next()
     }
 
     /// Records a promise; returns false if it is for another number or arrives after the prepare phase.
@@ -208,40 +214,42 @@
             return false;
         }
         if let Some(view) = prepare_ok.view {
-            self.learn(view);
+            self.learn_view(view);
         }
-        self.agreed.insert(from);
-        let promised = Promised {
+        self.granting_members.insert(from);
+        let report = PromiseReport {
             viewstamp: prepare_ok.viewstamp,
             draining: prepare_ok.draining,
         };
-        self.promises.insert(from, promised);
+        self.promises.insert(from, report);
         true
     }
 
     /// Returns the newest state once a majority that includes the candidate has promised, and all others have answered
     /// or have had [`PREPARE_GRACE_MS`] to do so.
-    pub(super) fn decided_state(&mut self, own: Member, now_ms: u64) -> Option<NewestState> {
-        let is_promised = self.agreed.contains(&own) && self.has_majority();
+    pub(super) fn decided_state(&mut self, own_member: Member, now_ms: u64) -> Option<NewestState> {
+        let is_promised = self.granting_members.contains(&own_member) && self.has_majority();
         if self.phase != Phase::Prepare || !is_promised {
             return None;
         }
-        let majority_ms = *self.majority_ms.get_or_insert(now_ms);
-        let answered = self.agreed.len() + self.rejected.len();
-        if answered < self.requested.len() && now_ms < majority_ms + PREPARE_GRACE_MS {
+        let majority_reached_ms = *self.majority_reached_ms.get_or_insert(now_ms);
+        let answer_count = self.granting_members.len() + self.rejecting_members.len();
+        if answer_count < self.requested_members.len()
+            && now_ms < majority_reached_ms + PREPARE_GRACE_MS
+        {
             return None;
         }
-        self.newest(own)
+        self.newest_state(own_member)
     }
 
-    fn newest(&self, own: Member) -> Option<NewestState> {
+    fn newest_state(&self, own_member: Member) -> Option<NewestState> {
         let viewstamp = self.promises.values().map(|p| p.viewstamp).max()?;
         let has_newest = |member: &Member| {
             self.promises
                 .get(member)
-                .is_some_and(|promised| promised.viewstamp == viewstamp)
+                .is_some_and(|report| report.viewstamp == viewstamp)
         };
-        let source = Some(own)
+        let source = Some(own_member)
             .filter(has_newest)
             .or_else(|| self.promises.keys().copied().find(has_newest))?;
         Some(NewestState { viewstamp, source })
@@ -255,8 +263,8 @@
     /// Enters the phase in which acceptances of the proposed `view` are counted.
     pub(super) fn enter_propose_phase(&mut self, view: View) {
         self.phase = Phase::Propose { view };
-        self.agreed.clear();
-        self.rejected.clear();
+        self.granting_members.clear();
+        self.rejecting_members.clear();
     }
 
     /// Records an acceptance of the view `number`. Returns the view once it is agreed: accepted by majorities of its
@@ -265,7 +273,7 @@
         &mut self,
         from: Member,
         number: ViewNumber,
-        own: Member,
+        own_member: Member,
     ) -> Option<View> {
         let Phase::Propose { view } = &self.phase else {
             return None;
@@ -273,10 +281,10 @@
         if self.number != number {
             return None;
         }
-        self.agreed.insert(from);
-        let is_agreed = self.agreed.contains(&own)
-            && is_majority(&view.voters, &self.agreed)
-            && is_majority(&view.previous_voters, &self.agreed);
+        self.granting_members.insert(from);
+        let is_agreed = self.granting_members.contains(&own_member)
+            && is_majority(&view.voters, &self.granting_members)
+            && is_majority(&view.previous_voters, &self.granting_members);
         is_agreed.then(|| view.clone())
     }
 
@@ -292,7 +300,7 @@
             return false;
         }
         self.promised = self.promised.max(promised);
-        self.rejected.insert(from);
+        self.rejecting_members.insert(from);
         if promised >= number {
             self.deadline_ms = self.deadline_ms.min(now_ms + REJECTED_GRACE_MS);
         }
@@ -303,14 +311,16 @@
     pub(super) fn has_majority(&self) -> bool {
         self.electorates()
             .into_iter()
-            .all(|electorate| is_majority(electorate, &self.agreed))
+            .all(|electorate| is_majority(electorate, &self.granting_members))
     }
 
     /// Returns true if so many voters have rejected the request that the candidate cannot reach a majority.
     pub(super) fn cannot_win(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
-            let rejected = electorate.iter().filter(|m| self.rejected.contains(m));
-            electorate.len() - rejected.count() < majority(electorate.len())
+            let rejecting_voters = electorate
+                .iter()
+                .filter(|m| self.rejecting_members.contains(m));
+            electorate.len() - rejecting_voters.count() < majority(electorate.len())
         })
     }
 
@@ -318,14 +328,14 @@
     /// is known to be established, the previous voters. Until then committed writes may be only on disks of the
     /// previous voters.
     fn electorates(&self) -> [&[Member]; 2] {
-        [&self.known.voters, &self.known.previous_voters]
+        [&self.known_view.voters, &self.known_view.previous_voters]
     }
 
     /// Updates the known view from one that another voter has accepted.
-    fn learn(&mut self, view: View) {
-        let is_newer = view.number > self.known.number;
-        if is_newer || (view.number == self.known.number && view.is_established()) {
-            self.known = view;
+    fn learn_view(&mut self, view: View) {
+        let is_newer = view.number > self.known_view.number;
+        if is_newer || (view.number == self.known_view.number && view.is_established()) {
+            self.known_view = view;
         }
     }
 }
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -22,23 +22,23 @@
         return;
     }
     let viewstamp = context.record.viewstamp;
-    let next = viewstamp.seq + 1;
-    if batches.first().is_some_and(|batch| batch.seq > next) {
+    let next_seq = viewstamp.seq + 1;
+    if batches.first().is_some_and(|batch| batch.seq > next_seq) {
         return context.send_to_head(Message::WriteGap { viewstamp });
     }
-    let new = batches.into_iter().filter(|batch| batch.seq >= next);
-    let new: Vec<Arc<Batch>> = new.collect();
-    let Some(last) = new.last() else {
+    let new_batches = batches.into_iter().filter(|batch| batch.seq >= next_seq);
+    let new_batches: Vec<Arc<Batch>> = new_batches.collect();
+    let Some(last_batch) = new_batches.last() else {
         return report_stored(context);
     };
-    context.record.viewstamp.seq = last.seq;
-    for batch in &new {
+    context.record.viewstamp.seq = last_batch.seq;
+    for batch in &new_batches {
         let write = StoreOperation::Write(Arc::clone(batch));
         context.stores.add_operation(write);
     }
     context.stores.request_store();
     if relay {
-        relay_batches(context, number, new);
+        relay_batches(context, number, new_batches);
     }
 }
 
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -135,8 +135,8 @@
 
     /// Adds or updates a member's addresses. They are stored with the record, so that they survive a restart.
     pub(super) fn learn_address(&mut self, address: MemberAddress) {
-        let own = self.settings.address.internal;
-        let is_changed = self.record.learn_address(address, own);
+        let own_address = self.settings.address.internal;
+        let is_changed = self.record.learn_address(address, own_address);
         if is_changed && self.record.view.is_some() {
             self.stores.request_store();
         }
--- a/crates/replication/src/replica/discovery.rs
+++ b/crates/replication/src/replica/discovery.rs
@@ -12,13 +12,13 @@
     /// including those that want to join.
     pub fn members(&self) -> Vec<MemberAddress> {
         let record = &self.context.record;
-        let own = self.context.settings().address.internal;
-        let mut known: BTreeSet<SocketAddr> = BTreeSet::from([own]);
-        known.extend(record.voter_addresses());
-        known.extend(self.head.peer_addresses());
+        let own_address = self.context.settings().address.internal;
+        let mut known_addresses: BTreeSet<SocketAddr> = BTreeSet::from([own_address]);
+        known_addresses.extend(record.voter_addresses());
+        known_addresses.extend(self.head.peer_addresses());
         let addresses = record.addresses.iter();
         addresses
-            .filter(|address| known.contains(&address.internal))
+            .filter(|address| known_addresses.contains(&address.internal))
             .cloned()
             .collect()
     }
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -20,7 +20,7 @@
 pub(super) struct Follower {
     voter: Voter,
     /// When the next announcement is due; heartbeats postpone it.
-    announce_at_ms: u64,
+    announcement_due_ms: u64,
 }
 
 impl Follower {
@@ -29,7 +29,7 @@
     pub(super) fn new(vote_from_ms: u64, now_ms: u64) -> Follower {
         Follower {
             voter: Voter::new(vote_from_ms),
-            announce_at_ms: now_ms,
+            announcement_due_ms: now_ms,
         }
     }
 
@@ -69,7 +69,7 @@
             sent_ms,
             until_ms,
         });
-        self.announce_at_ms = context.now_ms() + UNRESPONSIVE_HEAD_MS;
+        self.announcement_due_ms = context.now_ms() + UNRESPONSIVE_HEAD_MS;
         if view.number > context.stores.stored_view() {
             context.stores.request_store_then(AfterStore::Grant);
         } else {
@@ -143,12 +143,12 @@
 
     /// Returns when the next announcement is due, for a member that does not lead.
     pub(super) fn announcement_due_ms(&self) -> u64 {
-        self.announce_at_ms
+        self.announcement_due_ms
     }
 
     /// Announces this member to `peers` and schedules the next announcement.
     pub(super) fn run_announcement(&mut self, context: &mut Context, peers: Vec<SocketAddr>) {
-        self.announce_at_ms = context.now_ms() + ANNOUNCE_INTERVAL_MS;
+        self.announcement_due_ms = context.now_ms() + ANNOUNCE_INTERVAL_MS;
         for peer in peers {
             let address = context.settings().address.clone();
             context.send(peer, Message::Announce { address });
--- a/crates/replication/src/replica/follower/voter.rs
+++ b/crates/replication/src/replica/follower/voter.rs
@@ -84,8 +84,8 @@
 
     /// Returns until when this member may not campaign itself; at least `now_ms`.
     pub(in crate::replica) fn bound_until_ms(&self, now_ms: u64) -> u64 {
-        let granted = self.lease.map_or(0, |lease| lease.until_ms);
-        granted.max(self.vote_from_ms).max(now_ms)
+        let lease_until_ms = self.lease.map_or(0, |lease| lease.until_ms);
+        lease_until_ms.max(self.vote_from_ms).max(now_ms)
     }
 
     /// Records a granted pre-vote; for [`PRE_VOTE_HOLD_MS`] no other candidate gets one.
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,5 +1,5 @@
 //! A member as the head: its leadership with heartbeats and lease, and how it ends. The submodules handle writes,
-//! commits, and changes of the view.
+//! commits, and view changes.
 
 mod commit;
 mod leadership;
@@ -54,8 +54,8 @@
     /// Returns until when [`Head::may_act`] stays true without further input; a past time or 0 if it is false.
     pub(super) fn acting_until_ms(&self) -> u64 {
         let leadership = self.leadership.as_ref();
-        let gained = leadership.filter(|leadership| leadership.is_gained());
-        gained.map_or(0, Leadership::lease_until_ms)
+        let gained_leadership = leadership.filter(|leadership| leadership.is_gained());
+        gained_leadership.map_or(0, Leadership::lease_until_ms)
     }
 
     /// Returns the internal addresses of all members that the head knows; none if this member does not lead.
@@ -72,8 +72,9 @@
         match &mut self.leadership {
             Some(leadership) => leadership.renew(view, now_ms),
             None => {
-                let stored = context.stores.stored_viewstamp();
-                let leadership = Leadership::new(context.own_member(), view, now_ms, stored);
+                let stored_viewstamp = context.stores.stored_viewstamp();
+                let leadership =
+                    Leadership::new(context.own_member(), view, now_ms, stored_viewstamp);
                 self.leadership = Some(leadership);
                 self.reconfiguration.begin(now_ms);
             }
@@ -175,18 +176,20 @@
     /// Returns when the head's next timer is due; `None` if this member does not lead.
     pub(super) fn due_ms(&self, context: &Context, is_campaigning: bool) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
-        let heartbeat_ms = if is_campaigning {
+        let heartbeat_due_ms = if is_campaigning {
             u64::MAX
         } else {
-            leadership.heartbeat_ms()
+            leadership.heartbeat_due_ms()
         };
-        let oldest = leadership.writes().oldest();
-        let slow_ms = oldest.map_or(u64::MAX, |oldest| oldest.sent_ms + SLOW_MEMBER_MS);
+        let oldest_batch = leadership.writes().oldest();
+        let slow_due_ms = oldest_batch.map_or(u64::MAX, |oldest_batch| {
+            oldest_batch.sent_ms + SLOW_MEMBER_MS
+        });
         let draining_since_ms = context.draining_since_ms();
-        let leave_ms = draining_since_ms.map_or(u64::MAX, |since_ms| since_ms + DRAIN_WAIT_MS);
-        let ahead = [slow_ms, leave_ms].into_iter();
-        let ahead = ahead.filter(|&due_ms| due_ms > context.now_ms());
-        ahead.chain([heartbeat_ms]).min()
+        let drain_due_ms = draining_since_ms.map_or(u64::MAX, |since_ms| since_ms + DRAIN_WAIT_MS);
+        let future_times_ms = [slow_due_ms, drain_due_ms].into_iter();
+        let future_times_ms = future_times_ms.filter(|&due_ms| due_ms > context.now_ms());
+        future_times_ms.chain([heartbeat_due_ms]).min()
     }
 
     /// Returns true if the head has had no lease in its view for more than [`LEASE_MS`].
@@ -201,7 +204,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if now_ms < leadership.heartbeat_ms() {
+        if now_ms < leadership.heartbeat_due_ms() {
             return;
         }
         leadership.forget_newcomers(now_ms);
@@ -257,7 +260,7 @@
 }
 
 /// Returns the chain member with the newest state among those that could lead at once.
-fn successor(leadership: &Leadership, own: Member, now_ms: u64) -> Option<Member> {
+fn successor(leadership: &Leadership, own_member: Member, now_ms: u64) -> Option<Member> {
     let oldest_seq = leadership.writes().oldest().map_or(0, |o| o.batch.seq);
     let is_fit = |peer: &Peer| {
         peer.since_received_ms(now_ms) < 2 * HEARTBEAT_INTERVAL_MS
@@ -270,7 +273,7 @@
         .chain
         .iter()
         .copied()
-        .filter(|&m| m != own);
+        .filter(|&m| m != own_member);
     others
         .filter(|&member| leadership.peer(member).is_some_and(is_fit))
         .max_by_key(|&member| leadership.viewstamp_of(member))
--- a/crates/replication/src/replica/head/commit.rs
+++ b/crates/replication/src/replica/head/commit.rs
@@ -45,21 +45,21 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(stored) = leadership.stored_by_all() else {
+        let Some(stored_seq) = leadership.stored_by_all() else {
             return;
         };
-        let is_new = leadership.synchronize();
-        for write_id in leadership.writes_mut().commit(stored) {
+        let is_newly_synchronized = leadership.synchronize();
+        for write_id in leadership.writes_mut().commit(stored_seq) {
             context.add_output(Output::Committed { write_id });
         }
-        if is_new {
+        if is_newly_synchronized {
             self.establish_view(context, is_campaigning);
         }
         self.report_view(context);
     }
 
-    /// Establishes the view, since the whole chain has taken over the view's first state: from now on its voters decide alone. The next
-    /// heartbeats announce this.
+    /// Establishes the view, since the whole chain has taken over its first state: from now on its voters decide alone.
+    /// The next heartbeats announce this.
     fn establish_view(&mut self, context: &mut Context, is_campaigning: bool) {
         let Some(leadership) = &mut self.leadership else {
             return;
--- a/crates/replication/src/replica/head/leadership.rs
+++ b/crates/replication/src/replica/head/leadership.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(super) struct Leadership {
     /// This member, which is the head.
-    own: Member,
+    own_member: Member,
     /// Number of the first view of this leadership.
     first_view: ViewNumber,
     /// The view that the head leads now.
@@ -34,7 +34,7 @@
     peers: BTreeMap<Member, Peer>,
     writes: WriteQueue,
     /// When the next heartbeats are due.
-    heartbeat_ms: u64,
+    heartbeat_due_ms: u64,
     /// Viewstamp of the rows on the head's own disk.
     own_viewstamp: Viewstamp,
 }
@@ -42,13 +42,13 @@
 impl Leadership {
     /// Creates the state of a new head, with the voters of its view as peers of which nothing is known.
     pub(super) fn new(
-        own: Member,
+        own_member: Member,
         view: View,
         now_ms: u64,
         own_viewstamp: Viewstamp,
     ) -> Leadership {
         let mut leadership = Leadership {
-            own,
+            own_member,
             first_view: view.number,
             view,
             view_since_ms: now_ms,
@@ -57,7 +57,7 @@
             reported_view: None,
             peers: BTreeMap::new(),
             writes: WriteQueue::default(),
-            heartbeat_ms: now_ms,
+            heartbeat_due_ms: now_ms,
             own_viewstamp,
         };
         leadership.add_voters(now_ms);
@@ -69,7 +69,7 @@
         self.view = view;
         self.view_since_ms = now_ms;
         self.is_synchronized = false;
-        self.heartbeat_ms = now_ms;
+        self.heartbeat_due_ms = now_ms;
         for peer in self.peers.values_mut() {
             peer.enter_view();
         }
@@ -78,7 +78,7 @@
 
     fn add_voters(&mut self, now_ms: u64) {
         for voter in self.view.voters.clone() {
-            if voter != self.own {
+            if voter != self.own_member {
                 self.peer_or_new(voter, now_ms);
             }
         }
@@ -163,13 +163,13 @@
     }
 
     /// Returns when the next heartbeats are due.
-    pub(super) fn heartbeat_ms(&self) -> u64 {
-        self.heartbeat_ms
+    pub(super) fn heartbeat_due_ms(&self) -> u64 {
+        self.heartbeat_due_ms
     }
 
     /// Schedules the next heartbeats, one interval from now.
     pub(super) fn schedule_heartbeat(&mut self, now_ms: u64) {
-        self.heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
+        self.heartbeat_due_ms = now_ms + HEARTBEAT_INTERVAL_MS;
     }
 
     /// Returns for how long the head has led its current view.
@@ -212,23 +212,27 @@
     /// Returns until when a majority of the voters, the head included, votes for no other head: 0 if too few have
     /// granted a lease, `u64::MAX` for a single voter.
     pub(super) fn lease_until_ms(&self) -> u64 {
-        let others = self.view.voters.iter().filter(|&&voter| voter != self.own);
-        let mut granted: Vec<u64> = others
-            .filter_map(|voter| self.peers.get(voter)?.granted_ms())
+        let others = self
+            .view
+            .voters
+            .iter()
+            .filter(|&&voter| voter != self.own_member);
+        let mut answered_sent_times_ms: Vec<u64> = others
+            .filter_map(|voter| self.peers.get(voter)?.answered_heartbeat_sent_ms())
             .collect();
-        granted.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = majority(self.view.voters.len()) - 1;
-        match needed.checked_sub(1) {
+        answered_sent_times_ms.sort_unstable_by(|a, b| b.cmp(a));
+        let needed_grants = majority(self.view.voters.len()) - 1;
+        match needed_grants.checked_sub(1) {
             None => u64::MAX,
-            Some(last) => granted
-                .get(last)
+            Some(last_index) => answered_sent_times_ms
+                .get(last_index)
                 .map_or(0, |sent_ms| sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100),
         }
     }
 
     /// Returns the newest viewstamp that `member` has reported for the rows on its disk.
     pub(super) fn viewstamp_of(&self, member: Member) -> Viewstamp {
-        if member == self.own {
+        if member == self.own_member {
             return self.own_viewstamp;
         }
         self.peers
@@ -258,7 +262,7 @@
         let members = self.view.voters.iter().chain(self.peers.keys());
         members
             .map(|member| member.internal)
-            .filter(|&internal| internal != self.own.internal)
+            .filter(|&internal| internal != self.own_member.internal)
             .collect()
     }
 }
--- a/crates/replication/src/replica/head/peer.rs
+++ b/crates/replication/src/replica/head/peer.rs
@@ -18,20 +18,20 @@
 #[derive(Debug)]
 pub(super) struct Peer {
     /// `sent_ms` of the newest heartbeat that the member has answered; `None` before the first answer.
-    granted_ms: Option<u64>,
+    answered_heartbeat_sent_ms: Option<u64>,
     last_received_ms: u64,
     report: PeerReport,
     /// Time before which the member is not taken into the chain.
-    rejoin_ms: u64,
+    rejoin_due_ms: u64,
     /// Length of the member's next exclusion from the chain.
-    next_exclusion_ms: u64,
+    next_exclusion_duration_ms: u64,
     /// Whether the member has promised a number above that of the view.
     has_promised_later: bool,
     /// Whether the head itself sends new writes to the member, because those relayed by its predecessor do not reach
     /// it.
     needs_direct_writes: bool,
     /// When writes were last resent to the member.
-    resent_ms: u64,
+    last_resent_ms: u64,
 }
 
 impl Peer {
@@ -39,25 +39,26 @@
     /// message.
     pub(super) fn new(now_ms: u64) -> Peer {
         Peer {
-            granted_ms: None,
+            answered_heartbeat_sent_ms: None,
             last_received_ms: now_ms,
             report: PeerReport {
                 viewstamp: Viewstamp::default(),
                 store_age_ms: 0,
                 draining: false,
             },
-            rejoin_ms: 0,
-            next_exclusion_ms: REJOIN_AFTER_MS,
+            rejoin_due_ms: 0,
+            next_exclusion_duration_ms: REJOIN_AFTER_MS,
             has_promised_later: false,
             needs_direct_writes: false,
-            resent_ms: 0,
+            last_resent_ms: 0,
         }
     }
 
     /// Keeps the member out of the chain for a time that doubles with each exclusion, up to [`REJOIN_AFTER_MAX_MS`].
     pub(super) fn exclude(&mut self, now_ms: u64) {
-        self.rejoin_ms = now_ms + self.next_exclusion_ms;
-        self.next_exclusion_ms = (2 * self.next_exclusion_ms).min(REJOIN_AFTER_MAX_MS);
+        self.rejoin_due_ms = now_ms + self.next_exclusion_duration_ms;
+        self.next_exclusion_duration_ms =
+            (2 * self.next_exclusion_duration_ms).min(REJOIN_AFTER_MAX_MS);
     }
 
     /// Returns the time since the last message from the member.
@@ -74,7 +75,7 @@
 
     /// Records the member's answer to the heartbeat sent at `sent_ms`.
     pub(super) fn record_grant(&mut self, sent_ms: u64, report: PeerReport, now_ms: u64) {
-        self.granted_ms = self.granted_ms.max(Some(sent_ms));
+        self.answered_heartbeat_sent_ms = self.answered_heartbeat_sent_ms.max(Some(sent_ms));
         self.last_received_ms = now_ms;
         self.report = PeerReport {
             viewstamp: self.report.viewstamp.max(report.viewstamp),
@@ -97,17 +98,17 @@
     /// Marks the member as one to which the head itself sends writes, including missed ones; returns false if writes
     /// were resent within the last half of [`RESEND_AFTER_MS`].
     pub(super) fn begin_resend(&mut self, now_ms: u64) -> bool {
-        if now_ms < self.resent_ms + RESEND_AFTER_MS / 2 {
+        if now_ms < self.last_resent_ms + RESEND_AFTER_MS / 2 {
             return false;
         }
-        self.resent_ms = now_ms;
+        self.last_resent_ms = now_ms;
         self.needs_direct_writes = true;
         true
     }
 
     /// Returns `sent_ms` of the newest heartbeat that the member has answered.
-    pub(super) fn granted_ms(&self) -> Option<u64> {
-        self.granted_ms
+    pub(super) fn answered_heartbeat_sent_ms(&self) -> Option<u64> {
+        self.answered_heartbeat_sent_ms
     }
 
     /// Returns the member's last report, with the newest state that it has reported.
@@ -117,7 +118,7 @@
 
     /// Returns true if the member's exclusion from the chain is over.
     pub(super) fn may_rejoin(&self, now_ms: u64) -> bool {
-        now_ms >= self.rejoin_ms
+        now_ms >= self.rejoin_due_ms
     }
 
     /// Returns true if the member has promised a number above that of the view.
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -19,7 +19,10 @@
 enum VoterChange {
     Add(Member),
     Remove(Member),
-    Replace { old: Member, new: Member },
+    Replace {
+        old_voter: Member,
+        new_voter: Member,
+    },
 }
 
 /// Snapshot of the head's knowledge of its cluster, from which it plans the next view.
@@ -28,7 +31,7 @@
     pub settings: &'a Settings,
     pub leadership: &'a Leadership,
     /// The head.
-    pub own: Member,
+    pub own_member: Member,
     /// Highest number that the head has promised.
     pub promised: ViewNumber,
     /// Sequence number of the head's last write.
@@ -56,11 +59,14 @@
     fn planned_voters(&self) -> Vec<Member> {
         let mut voters = self.leadership.view().voters.clone();
         match self.voter_change() {
-            Some(VoterChange::Add(new)) => voters.push(new),
-            Some(VoterChange::Remove(old)) => voters.retain(|&voter| voter != old),
-            Some(VoterChange::Replace { old, new }) => {
-                voters.retain(|&voter| voter != old);
-                voters.push(new);
+            Some(VoterChange::Add(new_voter)) => voters.push(new_voter),
+            Some(VoterChange::Remove(old_voter)) => voters.retain(|&voter| voter != old_voter),
+            Some(VoterChange::Replace {
+                old_voter,
+                new_voter,
+            }) => {
+                voters.retain(|&voter| voter != old_voter);
+                voters.push(new_voter);
             }
             None => {}
         }
@@ -83,24 +89,30 @@
     /// Replaces a voter that has lost its disk by the newcomer at the same address.
     fn lost_disk_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = &self.leadership.view().voters;
-        newcomers.iter().find_map(|&new| {
-            let has_address = |voter: &&Member| voter.internal == new.internal;
-            let old = *voters.iter().find(has_address)?;
-            Some(VoterChange::Replace { old, new })
+        newcomers.iter().find_map(|&new_voter| {
+            let has_address = |voter: &&Member| voter.internal == new_voter.internal;
+            let old_voter = *voters.iter().find(has_address)?;
+            Some(VoterChange::Replace {
+                old_voter,
+                new_voter,
+            })
         })
     }
 
     fn unresponsive_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
-        let old = *self.unresponsive_voters(REPLACE_AFTER_MS).first()?;
-        let new = *newcomers.first()?;
-        Some(VoterChange::Replace { old, new })
+        let old_voter = *self.unresponsive_voters(REPLACE_AFTER_MS).first()?;
+        let new_voter = *newcomers.first()?;
+        Some(VoterChange::Replace {
+            old_voter,
+            new_voter,
+        })
     }
 
     fn addition(&self, newcomers: &[Member]) -> Option<VoterChange> {
-        let voters = self.leadership.view().voters.len();
-        let is_wanted = voters < self.target_voter_count(voters + newcomers.len());
-        let new = *newcomers.first().filter(|_| is_wanted)?;
-        Some(VoterChange::Add(new))
+        let voter_count = self.leadership.view().voters.len();
+        let is_voter_wanted = voter_count < self.target_voter_count(voter_count + newcomers.len());
+        let new_voter = *newcomers.first().filter(|_| is_voter_wanted)?;
+        Some(VoterChange::Add(new_voter))
     }
 
     /// Returns the members that do not vote but could.
@@ -114,19 +126,19 @@
             .collect()
     }
 
-    /// Returns the voters that have sent nothing for at least `for_ms`, the longest silent one first.
-    fn unresponsive_voters(&self, for_ms: u64) -> Vec<Member> {
+    /// Returns the voters that have sent nothing for at least `silence_duration_ms`, the longest silent one first.
+    fn unresponsive_voters(&self, silence_duration_ms: u64) -> Vec<Member> {
         let since_received_ms = |voter: Member| {
             self.peer(voter)
                 .map_or(0, |peer| peer.since_received_ms(self.now_ms))
         };
         let voters = self.leadership.view().voters.iter().copied();
-        let mut unresponsive: Vec<Member> = voters
-            .filter(|&voter| voter != self.own)
-            .filter(|&voter| since_received_ms(voter) >= for_ms)
+        let mut unresponsive_voters: Vec<Member> = voters
+            .filter(|&voter| voter != self.own_member)
+            .filter(|&voter| since_received_ms(voter) >= silence_duration_ms)
             .collect();
-        unresponsive.sort_by_key(|&voter| std::cmp::Reverse(since_received_ms(voter)));
-        unresponsive
+        unresponsive_voters.sort_by_key(|&voter| std::cmp::Reverse(since_received_ms(voter)));
+        unresponsive_voters
     }
 
     /// Returns a voter to remove while there are more voters than required. If the number of voters is even, this is an
@@ -137,26 +149,31 @@
         if view.voters.len() <= self.settings.voters_min() {
             return None;
         }
-        let unresponsive = self.unresponsive_voters(REMOVE_AFTER_MS);
+        let unresponsive_voters = self.unresponsive_voters(REMOVE_AFTER_MS);
         if view.voters.len().is_multiple_of(2) {
-            let outside = view.voters.iter().find(|voter| !view.chain.contains(voter));
-            let surplus = unresponsive.first().or(outside).or(view.chain.last());
-            return surplus.copied();
+            let voter_outside_chain = view.voters.iter().find(|voter| !view.chain.contains(voter));
+            let surplus_voter = unresponsive_voters
+                .first()
+                .or(voter_outside_chain)
+                .or(view.chain.last());
+            return surplus_voter.copied();
         }
-        let lone = self.unresponsive_voters(REMOVE_LONE_AFTER_MS);
-        let several = unresponsive.first().filter(|_| unresponsive.len() > 1);
-        several.or(lone.first()).copied()
+        let long_unresponsive_voters = self.unresponsive_voters(REMOVE_LONE_AFTER_MS);
+        let one_of_several = unresponsive_voters
+            .first()
+            .filter(|_| unresponsive_voters.len() > 1);
+        one_of_several.or(long_unresponsive_voters.first()).copied()
     }
 
-    /// Returns how many of `members` members should vote: an odd number, at least the minimum of the settings and at
-    /// most [`VOTERS_MAX`].
-    fn target_voter_count(&self, members: usize) -> usize {
-        let odd = if members.is_multiple_of(2) {
-            members.saturating_sub(1)
+    /// Returns how many of `member_count` members should vote: an odd number, at least the minimum of the settings and
+    /// at most [`VOTERS_MAX`].
+    fn target_voter_count(&self, member_count: usize) -> usize {
+        let odd_count = if member_count.is_multiple_of(2) {
+            member_count.saturating_sub(1)
         } else {
-            members
+            member_count
         };
-        odd.max(self.settings.voters_min()).min(VOTERS_MAX)
+        odd_count.max(self.settings.voters_min()).min(VOTERS_MAX)
     }
 
     /// Returns true if a member outside the chain could join it: it has nearly all of the head's rows, is responsive
@@ -173,17 +190,17 @@
     /// Returns the current chain without the members that delay it, and with those that have caught up.
     fn planned_chain(&self, voters: &[Member]) -> Vec<Member> {
         let chain = self.leadership.view().chain.iter().copied();
-        let (delaying, mut planned): (Vec<Member>, Vec<Member>) = chain
+        let (delaying_members, mut planned_members): (Vec<Member>, Vec<Member>) = chain
             .filter(|member| voters.contains(member))
             .partition(|&member| self.delays_chain(member));
-        planned.extend(self.joining_voters(voters, !delaying.is_empty()));
+        planned_members.extend(self.joining_voters(voters, !delaying_members.is_empty()));
         // A chain that would be too short keeps some of the members that delay it.
-        let lacking = self
+        let lacking_count = self
             .settings
             .chain_min(voters.len())
-            .saturating_sub(planned.len());
-        planned.extend(delaying.into_iter().take(lacking));
-        planned
+            .saturating_sub(planned_members.len());
+        planned_members.extend(delaying_members.into_iter().take(lacking_count));
+        planned_members
     }
 
     /// Returns the voters outside the chain that join it. Until the chain has taken over the view's first state, they
@@ -197,18 +214,18 @@
         let may_rejoin = |peer: &Peer| is_synchronizing || peer.may_rejoin(self.now_ms);
         let joins = |peer: &Peer| self.is_fit(peer) && may_rejoin(peer);
         // A member that is removed from the chain now is not among these; it rejoins after its exclusion.
-        let outside = voters
+        let voters_outside_chain = voters
             .iter()
             .copied()
             .filter(|voter| !self.leadership.view().chain.contains(voter));
-        outside
+        voters_outside_chain
             .filter(|&voter| self.peer(voter).is_some_and(joins))
             .collect()
     }
 
     /// Returns true if a member of the chain is unresponsive, draining, or slower than the others.
     fn delays_chain(&self, member: Member) -> bool {
-        if member == self.own {
+        if member == self.own_member {
             return false;
         }
         let Some(peer) = self.peer(member) else {
@@ -226,13 +243,15 @@
     /// have stored.
     fn is_slow(&self, member: Member) -> bool {
         let leadership = self.leadership;
-        let Some(oldest) = leadership.oldest_missing(member) else {
+        let Some(oldest_missing_batch) = leadership.oldest_missing(member) else {
             return false;
         };
-        let has_stored = |&&other: &&Member| leadership.viewstamp_of(other).seq >= oldest.batch.seq;
-        let stored = leadership.view().chain.iter().filter(has_stored).count();
-        let is_late = self.now_ms >= oldest.sent_ms + SLOW_MEMBER_MS;
+        let has_stored = |&&chain_member: &&Member| {
+            leadership.viewstamp_of(chain_member).seq >= oldest_missing_batch.batch.seq
+        };
+        let stored_count = leadership.view().chain.iter().filter(has_stored).count();
+        let is_late = self.now_ms >= oldest_missing_batch.sent_ms + SLOW_MEMBER_MS;
         let chain_min = self.settings.chain_min(leadership.view().voters.len());
-        leadership.is_synchronized() && is_late && stored >= chain_min
+        leadership.is_synchronized() && is_late && stored_count >= chain_min
     }
 }
--- a/crates/replication/src/replica/head/reconfiguration.rs
+++ b/crates/replication/src/replica/head/reconfiguration.rs
@@ -50,7 +50,7 @@
         let planner = Planner {
             settings: context.settings(),
             leadership,
-            own: context.own_member(),
+            own_member: context.own_member(),
             promised: context.record.promised,
             head_seq: context.record.viewstamp.seq,
             now_ms,
--- a/crates/replication/src/replica/head/write_queue.rs
+++ b/crates/replication/src/replica/head/write_queue.rs
@@ -41,7 +41,7 @@
 impl WriteQueue {
     /// Adds a write to the next batch; returns false if more than [`PENDING_BYTES_MAX`] would wait.
     pub(super) fn submit(&mut self, write_id: SubmissionId, changes: Vec<RowChange>) -> bool {
-        let bytes: usize = changes.iter().map(bytes_of).sum();
+        let bytes: usize = changes.iter().map(change_bytes).sum();
         if self.pending_bytes + bytes > PENDING_BYTES_MAX {
             return false;
         }
@@ -94,20 +94,20 @@
             .find(|o| viewstamp.view != number || o.batch.seq > viewstamp.seq)
     }
 
-    /// Returns the uncommitted batches with sequence numbers above `after`.
-    pub(super) fn batches_after(&self, after: u64) -> Vec<Arc<Batch>> {
-        let later = self.outstanding.iter().filter(|o| o.batch.seq > after);
-        later.map(|o| Arc::clone(&o.batch)).collect()
+    /// Returns the uncommitted batches with sequence numbers above `after_seq`.
+    pub(super) fn batches_after(&self, after_seq: u64) -> Vec<Arc<Batch>> {
+        let later_batches = self.outstanding.iter().filter(|o| o.batch.seq > after_seq);
+        later_batches.map(|o| Arc::clone(&o.batch)).collect()
     }
 
-    /// Removes the batches up to the sequence number `stored` and returns their writes.
-    pub(super) fn commit(&mut self, stored: u64) -> Vec<SubmissionId> {
-        let is_later = |o: &Outstanding| o.batch.seq > stored;
+    /// Removes the batches up to the sequence number `stored_seq` and returns their writes.
+    pub(super) fn commit(&mut self, stored_seq: u64) -> Vec<SubmissionId> {
+        let is_later = |o: &Outstanding| o.batch.seq > stored_seq;
         let count = self.outstanding.iter().position(is_later);
-        let committed = self
+        let committed_batches = self
             .outstanding
             .drain(..count.unwrap_or(self.outstanding.len()));
-        committed.flat_map(|o| o.write_ids).collect()
+        committed_batches.flat_map(|o| o.write_ids).collect()
     }
 
     /// Returns the writes that are not committed at the end of the leadership.
@@ -120,6 +120,6 @@
     }
 }
 
-fn bytes_of(change: &RowChange) -> usize {
+fn change_bytes(change: &RowChange) -> usize {
     change.key.len() + change.value.as_ref().map_or(0, Vec::len)
 }
--- a/crates/replication/src/replica/head/writes.rs
+++ b/crates/replication/src/replica/head/writes.rs
@@ -66,22 +66,24 @@
 
     /// Resends writes to members that have not stored them for [`RESEND_AFTER_MS`].
     pub(super) fn resend_missing(&mut self, context: &mut Context) {
-        let (own, now_ms) = (context.own_member(), context.now_ms());
+        let (own_member, now_ms) = (context.own_member(), context.now_ms());
         let leadership = self.leadership.as_ref();
         let Some(leadership) = leadership.filter(|leads| leads.is_synchronized()) else {
             return;
         };
         let is_late = |member: Member| {
-            let oldest = leadership.oldest_missing(member);
-            oldest.is_some_and(|oldest| now_ms >= oldest.sent_ms + RESEND_AFTER_MS)
+            let oldest_missing_batch = leadership.oldest_missing(member);
+            oldest_missing_batch.is_some_and(|oldest_missing_batch| {
+                now_ms >= oldest_missing_batch.sent_ms + RESEND_AFTER_MS
+            })
         };
         let chain = leadership.view().chain.iter().copied();
-        let late: Vec<(Member, u64)> = chain
-            .filter(|&member| member != own && is_late(member))
+        let late_members: Vec<(Member, u64)> = chain
+            .filter(|&member| member != own_member && is_late(member))
             .map(|member| (member, leadership.viewstamp_of(member).seq))
             .collect();
-        for (member, after) in late {
-            self.resend(context, member, after);
+        for (member, after_seq) in late_members {
+            self.resend(context, member, after_seq);
         }
     }
 
@@ -97,9 +99,9 @@
                 .is_some_and(Peer::needs_direct_writes)
         };
         let others = view.chain.iter().copied().skip(1);
-        let direct =
+        let direct_receivers =
             others.filter(|&member| Some(member) != successor && needs_direct_writes(member));
-        for member in successor.into_iter().chain(direct) {
+        for member in successor.into_iter().chain(direct_receivers) {
             let message = Message::Write(Write {
                 number: view.number,
                 batches: vec![Arc::clone(batch)],
@@ -109,7 +111,7 @@
         }
     }
 
-    fn resend(&mut self, context: &mut Context, member: Member, after: u64) {
+    fn resend(&mut self, context: &mut Context, member: Member, after_seq: u64) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -117,7 +119,7 @@
         if !peer.is_some_and(|peer| peer.begin_resend(context.now_ms())) {
             return;
         }
-        let batches = leadership.writes().batches_after(after);
+        let batches = leadership.writes().batches_after(after_seq);
         if !batches.is_empty() {
             let message = Message::Write(Write {
                 number: leadership.view().number,
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -34,10 +34,10 @@
     /// Adopts an agreed view that another member leads.
     fn follow(&mut self, view: &View) {
         let record = &self.context.record;
-        let known = record.view.as_ref().filter(|v| v.number == view.number);
+        let known_view = record.view.as_ref().filter(|v| v.number == view.number);
         let is_followed = record.agreed && record.promised == view.number;
-        if let Some(known) = known.filter(|_| is_followed) {
-            if view.is_established() && !known.is_established() {
+        if let Some(known_view) = known_view.filter(|_| is_followed) {
+            if view.is_established() && !known_view.is_established() {
                 self.context.record.view = Some(view.clone());
                 self.context.stores.request_store();
             }
@@ -156,15 +156,15 @@
         let Some(view) = &record.view else {
             return false;
         };
-        let own = &record.member;
-        let votes =
-            view.voters.contains(own) || (!record.agreed && view.previous_voters.contains(own));
-        votes && !self.context.is_draining()
+        let own_member = &record.member;
+        let is_voter = view.voters.contains(own_member)
+            || (!record.agreed && view.previous_voters.contains(own_member));
+        is_voter && !self.context.is_draining()
     }
 
     pub(super) fn election_due_ms(&self) -> Option<u64> {
         let may_begin = !self.head.is_leading() && self.may_campaign();
-        let begin_ms = || may_begin.then_some(self.candidate.campaign_at_ms());
+        let begin_ms = || may_begin.then_some(self.candidate.campaign_due_ms());
         self.candidate.due_ms().or_else(begin_ms)
     }
 
@@ -177,18 +177,20 @@
         self.handle_campaign_step(step);
         let is_due = !self.candidate.is_campaigning()
             && !self.head.is_leading()
-            && now_ms >= self.candidate.campaign_at_ms();
+            && now_ms >= self.candidate.campaign_due_ms();
         if is_due && self.may_campaign() {
             self.start_campaign();
         }
     }
 
     fn start_campaign(&mut self) {
-        let own = self.context.own_member();
-        if self.is_bound_to_other_than(own, self.context.headed_view()) {
+        let own_member = self.context.own_member();
+        if self.is_bound_to_other_than(own_member, self.context.headed_view()) {
             let now_ms = self.context.now_ms();
-            let from_ms = self.follower.voter().bound_until_ms(now_ms) + BACKOFF_MS;
-            return self.candidate.postpone_beyond(&mut self.context, from_ms);
+            let earliest_ms = self.follower.voter().bound_until_ms(now_ms) + BACKOFF_MS;
+            return self
+                .candidate
+                .postpone_beyond(&mut self.context, earliest_ms);
         }
         let is_resuming = self.is_resuming();
         let context = &mut self.context;
@@ -211,22 +213,25 @@
     pub(super) fn handle_campaign_step(&mut self, step: CampaignStep) {
         match step {
             CampaignStep::Wait => {}
-            CampaignStep::Prepare { number, known } => self.prepare(number, known, None),
-            CampaignStep::Fetch { number, newest } => {
+            CampaignStep::Prepare { number, known_view } => self.prepare(number, known_view, None),
+            CampaignStep::Fetch {
+                number,
+                newest_state,
+            } => {
                 self.head.end_leadership(&mut self.context);
                 let context = &mut self.context;
-                let (source, newest) = (newest.source, newest.viewstamp);
+                let (source, newest_viewstamp) = (newest_state.source, newest_state.viewstamp);
                 self.transfers
-                    .fetch_for_candidate(context, source, number, newest);
+                    .fetch_for_candidate(context, source, number, newest_viewstamp);
             }
             CampaignStep::Fail => self.fail_campaign(),
         }
     }
 
-    fn prepare(&mut self, number: ViewNumber, known: View, plan: Option<Plan>) {
+    fn prepare(&mut self, number: ViewNumber, known_view: View, plan: Option<Plan>) {
         self.transfers.abandon();
         self.candidate
-            .prepare(&mut self.context, number, known, plan);
+            .prepare(&mut self.context, number, known_view, plan);
     }
 
     /// Ends the campaign without success; the next one begins after a random time.
@@ -274,8 +279,8 @@
     // Leading.
 
     pub(super) fn handle_accepted(&mut self, from: Member, number: ViewNumber) {
-        let own = self.context.own_member();
-        if let Some(view) = self.candidate.handle_accepted(from, number, own) {
+        let own_member = self.context.own_member();
+        if let Some(view) = self.candidate.handle_accepted(from, number, own_member) {
             self.follower.clear_lease();
             self.head.lead(&mut self.context, view);
         }
@@ -288,8 +293,10 @@
         let now_ms = self.context.now_ms();
         if self.head.is_lost(now_ms) {
             self.abandon_leadership_and_campaign();
-            let from_ms = now_ms + LEASE_MS;
-            return self.candidate.postpone_beyond(&mut self.context, from_ms);
+            let earliest_ms = now_ms + LEASE_MS;
+            return self
+                .candidate
+                .postpone_beyond(&mut self.context, earliest_ms);
         }
         // This precedes the heartbeats: one sent after the leadership was transferred would bind its receiver to this
         // head again.
@@ -302,15 +309,15 @@
         }
     }
 
-    /// Starts the change to a new view under this head if the current one should change.
+    /// Starts a view change under this head if the current view should change.
     fn reconfigure(&mut self) {
         let context = &self.context;
         if context.is_draining() || context.stores.is_failing() {
             return;
         }
         let change = self.head.due_view_change(context);
-        if let Some((change, known)) = change.zip(context.record.view.clone()) {
-            self.prepare(change.number, known, Some(change.plan));
+        if let Some((change, known_view)) = change.zip(context.record.view.clone()) {
+            self.prepare(change.number, known_view, Some(change.plan));
         }
     }
 
@@ -323,8 +330,8 @@
             context.send(internal, Message::Release { number });
         }
         context.send(transfer.successor, Message::CampaignNow { number });
-        let campaign_at_ms = context.now_ms() + RESIGNED_DEFER_MS;
-        self.candidate.postpone_until(campaign_at_ms);
+        let campaign_due_ms = context.now_ms() + RESIGNED_DEFER_MS;
+        self.candidate.postpone_until(campaign_due_ms);
     }
 
     pub(super) fn handle_step_down(&mut self) {
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -40,8 +40,8 @@
     store: u64,
     request: Arc<StoreRequest>,
     after: Vec<AfterStore>,
-    since_ms: u64,
-    retry_ms: Option<u64>,
+    started_ms: u64,
+    retry_due_ms: Option<u64>,
 }
 
 /// The store under way, and the changes collected for the next one.
@@ -87,10 +87,10 @@
         self.is_requested = true;
     }
 
-    /// Requests a store of the record, followed by `after` once it is on disk.
-    pub(super) fn request_store_then(&mut self, after: AfterStore) {
+    /// Requests a store of the record, followed by `action` once it is on disk.
+    pub(super) fn request_store_then(&mut self, action: AfterStore) {
         self.is_requested = true;
-        self.after.push(after);
+        self.after.push(action);
     }
 
     /// Adds a change to the rows to the next store.
@@ -107,19 +107,19 @@
     pub(super) fn is_failing(&self) -> bool {
         self.in_flight
             .as_ref()
-            .is_some_and(|f| f.retry_ms.is_some())
+            .is_some_and(|f| f.retry_due_ms.is_some())
     }
 
     /// Returns for how long the store under way has been unfinished, including retries; 0 if there is none.
     pub(super) fn age_ms(&self, now_ms: u64) -> u64 {
         self.in_flight
             .as_ref()
-            .map_or(0, |f| now_ms.saturating_sub(f.since_ms))
+            .map_or(0, |f| now_ms.saturating_sub(f.started_ms))
     }
 
     /// Returns when a failed store is retried; `None` if none has failed.
-    pub(super) fn retry_ms(&self) -> Option<u64> {
-        self.in_flight.as_ref().and_then(|f| f.retry_ms)
+    pub(super) fn retry_due_ms(&self) -> Option<u64> {
+        self.in_flight.as_ref().and_then(|f| f.retry_due_ms)
     }
 
     /// Starts the next store and returns its number and request, if one is requested and none is under way, or if a
@@ -146,38 +146,40 @@
             store: self.last_store,
             request: Arc::clone(&request),
             after: std::mem::take(&mut self.after),
-            since_ms: now_ms,
-            retry_ms: None,
+            started_ms: now_ms,
+            retry_due_ms: None,
         });
         Some((self.last_store, request))
     }
 
     fn retry(&mut self, now_ms: u64) -> Option<(u64, Arc<StoreRequest>)> {
-        let failed = self.in_flight.as_mut()?;
-        failed.retry_ms.filter(|&due| due <= now_ms)?;
-        failed.retry_ms = None;
+        let failed_store = self.in_flight.as_mut()?;
+        failed_store
+            .retry_due_ms
+            .filter(|&due_ms| due_ms <= now_ms)?;
+        failed_store.retry_due_ms = None;
         self.last_store += 1;
-        failed.store = self.last_store;
-        Some((failed.store, Arc::clone(&failed.request)))
+        failed_store.store = self.last_store;
+        Some((failed_store.store, Arc::clone(&failed_store.request)))
     }
 
     /// Handles the completion of a store; returns `None` if it is not the one under way.
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
-        let done = self.in_flight.take_if(|f| f.store == store)?;
-        let record = &done.request.record;
+        let finished_store = self.in_flight.take_if(|f| f.store == store)?;
+        let record = &finished_store.request.record;
         let has_new_rows = record.viewstamp != self.stored_viewstamp;
         self.stored_viewstamp = record.viewstamp;
         self.stored_view = record.view_number();
         Some(Finished {
             has_new_rows,
-            after: done.after,
+            after: finished_store.after,
         })
     }
 
     /// Handles the failure of a store and schedules its retry.
     pub(super) fn fail(&mut self, now_ms: u64, store: u64) {
-        if let Some(failed) = self.in_flight.as_mut().filter(|f| f.store == store) {
-            failed.retry_ms = Some(now_ms + STORE_RETRY_MS);
+        if let Some(failed_store) = self.in_flight.as_mut().filter(|f| f.store == store) {
+            failed_store.retry_due_ms = Some(now_ms + STORE_RETRY_MS);
         }
     }
 }
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -108,23 +108,28 @@
             None if is_earlier_state_of(viewstamp, &context.record) => (viewstamp.seq, false),
             None => (0, true),
         };
-        let read = self.rows_server.start(RowsRequest {
-            to: from,
+        let read_id = self.rows_server.start(RowsRequest {
+            requester: from,
             request_id: fetch.request_id,
             after,
             clear,
             view: context.record.viewstamp.view,
         });
         context.add_output(Output::ReadRows {
-            read,
+            read: read_id,
             since: after,
             bytes_max: TRANSFER_BYTES,
         });
     }
 
     /// Sends rows that have been read for another member.
-    pub(super) fn handle_rows_read(&mut self, context: &mut Context, read: u64, chunk: RowsChunk) {
-        let Some(request) = self.rows_server.finish(read) else {
+    pub(super) fn handle_rows_read(
+        &mut self,
+        context: &mut Context,
+        read_id: u64,
+        chunk: RowsChunk,
+    ) {
+        let Some(request) = self.rows_server.finish(read_id) else {
             return;
         };
         // The rows have been replaced since the request arrived: an answer would mix two states.
@@ -140,12 +145,12 @@
             viewstamp: chunk.viewstamp,
             history: chunk.history,
         });
-        context.send(request.to.internal, message);
+        context.send(request.requester.internal, message);
     }
 
     /// Drops a request whose rows cannot be read; the other member repeats it.
-    pub(super) fn handle_read_failed(&mut self, read: u64) {
-        self.rows_server.finish(read);
+    pub(super) fn handle_read_failed(&mut self, read_id: u64) {
+        self.rows_server.finish(read_id);
     }
 
     /// Handles a chunk of rows; `campaign` is the view number of this member's campaign, if any.
@@ -197,9 +202,9 @@
         let Some(transfer) = &mut self.transfer else {
             return;
         };
-        let to = transfer.source().internal;
+        let source_address = transfer.source().internal;
         let request = transfer.next_request(context.now_ms(), context.record.viewstamp);
-        context.send(to, request);
+        context.send(source_address, request);
     }
 
     fn finish(
@@ -231,8 +236,8 @@
         match purpose {
             Purpose::Follow { .. } => context.stores.request_store(),
             Purpose::Candidate { number, .. } => {
-                let stored = AfterStore::TransferStored { number };
-                context.stores.request_store_then(stored);
+                let after_store = AfterStore::TransferStored { number };
+                context.stores.request_store_then(after_store);
             }
         }
         TransferOutcome::Pending
--- a/crates/replication/src/replica/transfers/rows_server.rs
+++ b/crates/replication/src/replica/transfers/rows_server.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub(super) struct RowsRequest {
     /// The requesting member.
-    pub to: Member,
+    pub requester: Member,
     /// ID of the request; the answer carries it.
     pub request_id: u64,
     /// Sequence number after which rows are read.
@@ -22,20 +22,22 @@
 #[derive(Debug, Default)]
 pub(super) struct RowsServer {
     requests: BTreeMap<u64, RowsRequest>,
-    last_read: u64,
+    last_read_id: u64,
 }
 
 impl RowsServer {
     /// Adds a request, which replaces an earlier one of the same member. Returns the number of the read.
     pub(super) fn start(&mut self, request: RowsRequest) -> u64 {
-        self.last_read += 1;
-        self.requests.retain(|_, other| other.to != request.to);
-        self.requests.insert(self.last_read, request);
-        self.last_read
+        self.last_read_id += 1;
+        self.requests
+            .retain(|_, other| other.requester != request.requester);
+        self.requests.insert(self.last_read_id, request);
+        self.last_read_id
     }
 
-    /// Removes and returns the request that the read `read` was for, unless a later one has replaced it.
-    pub(super) fn finish(&mut self, read: u64) -> Option<RowsRequest> {
-        self.requests.remove(&read)
+    /// Removes and returns the request whose rows the read `read_id` returns; `None` if a later request has
+    /// replaced it.
+    pub(super) fn finish(&mut self, read_id: u64) -> Option<RowsRequest> {
+        self.requests.remove(&read_id)
     }
 }
--- a/crates/replication/src/replica/transfers/state_transfer.rs
+++ b/crates/replication/src/replica/transfers/state_transfer.rs
@@ -41,8 +41,8 @@
     clear: bool,
     rows: Vec<Row>,
     /// Sequence number after which the next chunk continues; `None` until the first chunk has arrived.
-    next_after: Option<u64>,
-    requested_ms: u64,
+    next_after_seq: Option<u64>,
+    last_request_ms: u64,
     last_received_ms: u64,
 }
 
@@ -59,8 +59,8 @@
             purpose,
             clear: false,
             rows: Vec::new(),
-            next_after: None,
-            requested_ms: 0,
+            next_after_seq: None,
+            last_request_ms: 0,
             last_received_ms: now_ms,
         }
     }
@@ -79,7 +79,7 @@
 
     /// Returns when the current request is repeated.
     pub(super) fn due_ms(&self) -> u64 {
-        self.requested_ms + FETCH_RETRY_MS
+        self.last_request_ms + FETCH_RETRY_MS
     }
 
     /// Returns true if the source has not answered for [`TRANSFER_TIMEOUT_MS`].
@@ -87,25 +87,25 @@
         now_ms >= self.last_received_ms + TRANSFER_TIMEOUT_MS
     }
 
-    /// Returns the request for the next chunk; `viewstamp` is the state of this member's rows.
+    /// Returns the request for the next chunk; `viewstamp` is that of this member's rows.
     pub(super) fn next_request(&mut self, now_ms: u64, viewstamp: Viewstamp) -> Message {
-        self.requested_ms = now_ms;
+        self.last_request_ms = now_ms;
         Message::Fetch(Fetch {
             request_id: self.request_id,
             viewstamp,
-            after: self.next_after,
+            after: self.next_after_seq,
         })
     }
 
     /// Moves the rows out of a chunk, if it is the expected one.
     pub(super) fn receive(&mut self, now_ms: u64, from: Member, chunk: &mut Rows) -> Progress {
         let is_answer = self.source == from && self.request_id == chunk.request_id;
-        let is_next = self.next_after.is_none_or(|after| after == chunk.after);
+        let is_next = self.next_after_seq.is_none_or(|after| after == chunk.after);
         if !is_answer || !is_next {
             return Progress::Ignored;
         }
         self.last_received_ms = now_ms;
-        if self.next_after.is_none() {
+        if self.next_after_seq.is_none() {
             self.clear = chunk.clear;
         }
         let last_seq = chunk.rows.last().map_or(chunk.after, |row| row.seq);
@@ -113,7 +113,7 @@
         if !chunk.more {
             return Progress::Complete;
         }
-        self.next_after = Some(last_seq);
+        self.next_after_seq = Some(last_seq);
         Progress::MoreNeeded
     }
 
--- a/crates/replication/src/replica/transfers/trim_schedule.rs
+++ b/crates/replication/src/replica/transfers/trim_schedule.rs
@@ -10,7 +10,7 @@
 /// The sequence number on disk at an earlier time.
 #[derive(Debug)]
 struct Sample {
-    at_ms: u64,
+    sampled_ms: u64,
     seq: u64,
 }
 
@@ -42,8 +42,11 @@
             return None;
         }
         self.due_ms = now_ms + TRIM_INTERVAL_MS;
-        self.samples.push_back(Sample { at_ms: now_ms, seq });
-        let is_old = |sample: &&Sample| sample.at_ms + TRIM_AFTER_MS <= now_ms;
+        self.samples.push_back(Sample {
+            sampled_ms: now_ms,
+            seq,
+        });
+        let is_old = |sample: &&Sample| sample.sampled_ms + TRIM_AFTER_MS <= now_ms;
         let seq = self.samples.front().filter(is_old)?.seq;
         self.samples.pop_front();
         Some(seq)
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -62,11 +62,14 @@
         let (loaded, quarantined) = match schema::load(dir, &path) {
             Ok(loaded) => (loaded, None),
             Err(error) if error.is_damage() => {
-                let kept = files::quarantine(dir, &path)?;
+                let quarantined_path = files::quarantine(dir, &path)?;
                 let reason = error.to_string();
                 (
                     schema::load(dir, &path)?,
-                    Some(Quarantined { path: kept, reason }),
+                    Some(Quarantined {
+                        path: quarantined_path,
+                        reason,
+                    }),
                 )
             }
             Err(error) => return Err(error),
@@ -110,13 +113,13 @@
         Ok(())
     }
 
-    /// Returns rows that changed after `since`, about `bytes_max` bytes of them, with the viewstamp of the table.
+    /// Returns rows that changed after `since_seq`, about `bytes_max` bytes of them, with the viewstamp of the table.
     ///
     /// # Errors
     ///
     /// `SQLite` fails, or the checksum of a row does not match.
-    pub fn rows_since(&self, since: u64, bytes_max: usize) -> Result<RowsChunk, StorageError> {
-        let (rows, more) = rows::since(&self.connection, &self.path, since, bytes_max)?;
+    pub fn rows_since(&self, since_seq: u64, bytes_max: usize) -> Result<RowsChunk, StorageError> {
+        let (rows, more) = rows::rows_since(&self.connection, &self.path, since_seq, bytes_max)?;
         Ok(RowsChunk {
             rows,
             more,
@@ -134,14 +137,14 @@
         rows::visit(&self.connection, &self.path, visitor)
     }
 
-    /// Verifies the checksums and index entries of `count` rows after the key `after`. Returns the key of the last one,
-    /// or `None` if the end of the table was reached.
+    /// Verifies the checksums and index entries of `count` rows after the key `after_key`. Returns the key of the last
+    /// one, or `None` if the end of the table was reached.
     ///
     /// # Errors
     ///
     /// `SQLite` fails, the checksum of a row does not match, or a row is missing from the index.
-    pub fn scrub(&self, after: &[u8], count: usize) -> Result<Option<Vec<u8>>, StorageError> {
-        rows::check(&self.connection, &self.path, after, count)
+    pub fn scrub(&self, after_key: &[u8], count: usize) -> Result<Option<Vec<u8>>, StorageError> {
+        rows::check(&self.connection, &self.path, after_key, count)
     }
 }
 
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -47,10 +47,10 @@
     /// Parses the log; returns `None` if the header is incomplete, in which case no frame has been written, or if its
     /// page size is invalid.
     fn parse(bytes: &'a [u8]) -> Option<Log<'a>> {
-        let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
+        let (header, frame_bytes) = bytes.split_at_checked(HEADER_BYTES)?;
         let page_size = big_endian_u32(header, PAGE_SIZE_OFFSET)? as usize;
         let is_page_size = PAGE_SIZES.contains(&page_size) && page_size.is_power_of_two();
-        let frames = rest.chunks_exact(FRAME_HEADER_BYTES + page_size);
+        let frames = frame_bytes.chunks_exact(FRAME_HEADER_BYTES + page_size);
         is_page_size.then(|| Log {
             header,
             frames,
@@ -60,27 +60,27 @@
 
     fn has_lost_writes(self) -> bool {
         let salts = &self.header[SALTS_OFFSET..SALTS_OFFSET + SALTS_BYTES];
-        let Some(mut before) = Checksum::read(self.header, CHECKSUM_OFFSET) else {
+        let Some(mut previous_checksum) = Checksum::read(self.header, CHECKSUM_OFFSET) else {
             return false;
         };
-        let (mut is_broken, mut commits) = (false, 0);
+        let (mut is_broken, mut commits_after_damage) = (false, 0);
         let has_salts = |frame: &&[u8]| frame[FRAME_SALTS_OFFSET..].starts_with(salts);
         for frame in self.frames.filter(has_salts) {
             // Each checksum continues from the one stored in the frame before, so frames behind a broken one can still
             // be verified.
-            let checksum = before
+            let checksum = previous_checksum
                 .add(&frame[..FRAME_CHECKED_BYTES], self.is_big_endian)
                 .add(&frame[FRAME_HEADER_BYTES..], self.is_big_endian);
-            let Some(written) = Checksum::read(frame, FRAME_CHECKSUM_OFFSET) else {
+            let Some(stored_checksum) = Checksum::read(frame, FRAME_CHECKSUM_OFFSET) else {
                 return false;
             };
-            let is_valid = checksum == written;
+            let is_valid = checksum == stored_checksum;
             let is_commit = big_endian_u32(frame, DATABASE_PAGES_OFFSET) != Some(0);
-            commits += usize::from(is_broken && is_valid && is_commit);
+            commits_after_damage += usize::from(is_broken && is_valid && is_commit);
             is_broken |= !is_valid;
-            before = written;
+            previous_checksum = stored_checksum;
         }
-        commits >= COMMITS_PROVING_DAMAGE
+        commits_after_damage >= COMMITS_PROVING_DAMAGE
     }
 }
 
@@ -92,11 +92,11 @@
 }
 
 impl Checksum {
-    /// Reads the checksum stored at the offset `at`.
-    fn read(bytes: &[u8], at: usize) -> Option<Checksum> {
+    /// Reads the checksum stored at `offset`.
+    fn read(bytes: &[u8], offset: usize) -> Option<Checksum> {
         Some(Checksum {
-            first: big_endian_u32(bytes, at)?,
-            second: big_endian_u32(bytes, at + 4)?,
+            first: big_endian_u32(bytes, offset)?,
+            second: big_endian_u32(bytes, offset + 4)?,
         })
     }
 
@@ -108,21 +108,23 @@
         };
         let (values, _) = bytes.as_chunks::<4>();
         let (pairs, _) = values.as_chunks::<2>();
-        for [one, other] in pairs {
+        for [first, second] in pairs {
             self.first = self
                 .first
-                .wrapping_add(number(*one))
+                .wrapping_add(number(*first))
                 .wrapping_add(self.second);
             self.second = self
                 .second
-                .wrapping_add(number(*other))
+                .wrapping_add(number(*second))
                 .wrapping_add(self.first);
         }
         self
     }
 }
 
-/// Reads the big-endian number at the offset `at`; `None` beyond the end.
-fn big_endian_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_be_bytes(bytes.get(at..)?.first_chunk().copied()?))
+/// Reads the big-endian number at `offset`; `None` beyond the end.
+fn big_endian_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    Some(u32::from_be_bytes(
+        bytes.get(offset..)?.first_chunk().copied()?,
+    ))
 }
--- a/crates/replication/src/storage/rows.rs
+++ b/crates/replication/src/storage/rows.rs
@@ -48,33 +48,33 @@
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE value IS NOT NULL ORDER BY key";
     let mut statement = connection.prepare_cached(query).context(context)?;
-    let mut found = statement.query([]).context(context)?;
-    while let Some(row) = found.next().context(context)? {
+    let mut result_rows = statement.query([]).context(context)?;
+    while let Some(row) = result_rows.next().context(context)? {
         let row = StoredRow::read(row).context(context)?.check(path)?;
         visitor(row.key, row.value.unwrap_or_default());
     }
     Ok(())
 }
 
-/// Returns rows that changed after `since`, about `bytes_max` bytes of them and whole writes only, and whether more
+/// Returns rows that changed after `since_seq`, about `bytes_max` bytes of them and whole writes only, and whether more
 /// follow.
-pub(super) fn since(
+pub(super) fn rows_since(
     connection: &Connection,
     path: &Path,
-    since: u64,
+    since_seq: u64,
     bytes_max: usize,
 ) -> Result<(Vec<Row>, bool), StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE seq > ?1 ORDER BY seq";
     let mut statement = connection.prepare_cached(query).context(context)?;
-    let mut found = statement.query([since as i64]).context(context)?;
+    let mut result_rows = statement.query([since_seq as i64]).context(context)?;
     let mut rows: Vec<Row> = Vec::new();
     let mut bytes = 0;
-    while let Some(row) = found.next().context(context)? {
+    while let Some(row) = result_rows.next().context(context)? {
         let StoredRow {
             key, value, seq, ..
         } = StoredRow::read(row).context(context)?.check(path)?;
-        if bytes >= bytes_max && rows.last().is_some_and(|last| last.seq != seq) {
+        if bytes >= bytes_max && rows.last().is_some_and(|last_row| last_row.seq != seq) {
             return Ok((rows, true));
         }
         bytes += key.len() + value.map_or(0, <[u8]>::len);
@@ -87,22 +87,22 @@
     Ok((rows, false))
 }
 
-/// Verifies the checksums and index entries of `count` rows after the key `after`; returns the key of the last one, or
-/// `None` if the end of the table was reached.
+/// Verifies the checksums and index entries of `count` rows after the key `after_key`; returns the key of the last one,
+/// or `None` if the end of the table was reached.
 pub(super) fn check(
     connection: &Connection,
     path: &Path,
-    after: &[u8],
+    after_key: &[u8],
     count: usize,
 ) -> Result<Option<Vec<u8>>, StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE key > ?1 ORDER BY key LIMIT ?2";
     let mut statement = connection.prepare_cached(query).context(context)?;
-    let mut found = statement
-        .query(params![after, count as i64])
+    let mut result_rows = statement
+        .query(params![after_key, count as i64])
         .context(context)?;
-    let (mut last, mut checked) = (None, 0);
-    while let Some(row) = found.next().context(context)? {
+    let (mut last_key, mut checked_count) = (None, 0);
+    while let Some(row) = result_rows.next().context(context)? {
         let row = StoredRow::read(row).context(context)?.check(path)?;
         ensure!(
             is_indexed(connection, &row).context(context)?,
@@ -111,10 +111,10 @@
                 key: String::from_utf8_lossy(row.key)
             }
         );
-        last = Some(row.key.to_vec());
-        checked += 1;
+        last_key = Some(row.key.to_vec());
+        checked_count += 1;
     }
-    Ok(last.filter(|_| checked == count))
+    Ok(last_key.filter(|_| checked_count == count))
 }
 
 /// Returns true if the index by sequence number, which transfers use, contains the row.
@@ -123,7 +123,9 @@
         "SELECT EXISTS (SELECT 1 FROM rows INDEXED BY rows_by_seq WHERE seq = ?1 AND key = ?2)";
     connection
         .prepare_cached(query)?
-        .query_row(params![row.seq as i64, row.key], |found| found.get(0))
+        .query_row(params![row.seq as i64, row.key], |result_row| {
+            result_row.get(0)
+        })
 }
 
 /// Verifies the checksums of all rows; `SQLite`'s integrity check covers the index.
@@ -131,8 +133,8 @@
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows";
     let mut statement = connection.prepare(query).context(context)?;
-    let mut found = statement.query([]).context(context)?;
-    while let Some(row) = found.next().context(context)? {
+    let mut result_rows = statement.query([]).context(context)?;
+    while let Some(row) = result_rows.next().context(context)? {
         StoredRow::read(row).context(context)?.check(path)?;
     }
     Ok(())
@@ -171,7 +173,7 @@
 /// Computes and stores the checksum of each row, in a database that had none.
 pub(super) fn write_checksums(connection: &Connection) -> rusqlite::Result<()> {
     let mut statement = connection.prepare("SELECT key, value, seq FROM rows")?;
-    let read = |row: &rusqlite::Row<'_>| {
+    let read_row = |row: &rusqlite::Row<'_>| {
         let (key, value): (Vec<u8>, Option<Vec<u8>>) = (row.get(0)?, row.get(1)?);
         Ok(Row {
             key,
@@ -179,9 +181,9 @@
             seq: row.get::<_, i64>(2)? as u64,
         })
     };
-    let all: Vec<Row> = statement
-        .query_map([], read)?
+    let rows: Vec<Row> = statement
+        .query_map([], read_row)?
         .collect::<rusqlite::Result<_>>()?;
-    all.iter()
+    rows.iter()
         .try_for_each(|row| put(connection, &row.key, row.value.as_deref(), row.seq))
 }
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -176,9 +176,9 @@
         self.nodes[node].disk = super::disk::Disk::default();
     }
 
-    pub(crate) fn freeze(&mut self, node: usize, for_ms: u64) {
-        self.log_event(&format!("freeze {node} for {for_ms}"));
-        self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
+    pub(crate) fn freeze(&mut self, node: usize, duration_ms: u64) {
+        self.log_event(&format!("freeze {node} for {duration_ms}"));
+        self.nodes[node].frozen_until_ms = self.now_ms + duration_ms;
     }
 
     /// Partitions two machines from each other.
@@ -339,8 +339,8 @@
         }
         node.busy = true;
         let is_read = matches!(node.tasks.front(), Some(DiskTask::Read { .. }));
-        let for_ms = if is_read { READ_MS } else { node.disk_ms };
-        let (at_ms, incarnation) = (self.now_ms + for_ms, node.incarnation);
+        let duration_ms = if is_read { READ_MS } else { node.disk_ms };
+        let (at_ms, incarnation) = (self.now_ms + duration_ms, node.incarnation);
         self.events.schedule(
             at_ms,
             Event::DiskDone {
--- a/crates/replication/tests/simulation/events.rs
+++ b/crates/replication/tests/simulation/events.rs
@@ -14,7 +14,7 @@
 /// Time at which an event is due; the ID, which increases from event to event, breaks ties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
-    at_ms: u64,
+    due_ms: u64,
     id: u64,
 }
 
@@ -26,21 +26,21 @@
 }
 
 impl EventQueue {
-    pub(crate) fn schedule(&mut self, at_ms: u64, event: Event) {
+    pub(crate) fn schedule(&mut self, due_ms: u64, event: Event) {
         self.last_id += 1;
         let id = self.last_id;
-        self.due.push(Reverse(Due { at_ms, id }));
+        self.due.push(Reverse(Due { due_ms, id }));
         self.events.insert(id, event);
     }
 
     /// Returns when the next event is due; `None` if none is scheduled.
     pub(crate) fn next_ms(&self) -> Option<u64> {
-        self.due.peek().map(|Reverse(due)| due.at_ms)
+        self.due.peek().map(|Reverse(due)| due.due_ms)
     }
 
     /// Removes and returns the next event if it is due at `now_ms`.
     pub(crate) fn pop_due(&mut self, now_ms: u64) -> Option<Event> {
-        let id = self.due.peek().filter(|due| due.0.at_ms <= now_ms)?.0.id;
+        let id = self.due.peek().filter(|due| due.0.due_ms <= now_ms)?.0.id;
         self.due.pop();
         self.events.remove(&id)
     }
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -66,7 +66,7 @@
 /// A recovery and the time at which it is due.
 #[derive(Debug)]
 struct Due {
-    at_ms: u64,
+    due_ms: u64,
     recovery: Recovery,
 }
 
@@ -134,109 +134,110 @@
             let next = self
                 .recoveries
                 .iter()
-                .map(|due| due.at_ms)
+                .map(|due| due.due_ms)
                 .min()
                 .unwrap_or(until_ms);
             cluster.run(next.clamp(cluster.now_ms, until_ms), submit_interval_ms);
             let due: Vec<Due> = self
                 .recoveries
-                .extract_if(.., |due| due.at_ms <= cluster.now_ms)
+                .extract_if(.., |due| due.due_ms <= cluster.now_ms)
                 .collect();
             due.iter().for_each(|due| recover(cluster, &due.recovery));
         }
     }
 
-    fn schedule_recovery(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
-        let at_ms = cluster.now_ms + after_ms;
-        self.faultless_from_ms = self.faultless_from_ms.max(at_ms);
-        self.recoveries.push(Due { at_ms, recovery });
+    fn schedule_recovery(&mut self, cluster: &Cluster, delay_ms: u64, recovery: Recovery) {
+        let due_ms = cluster.now_ms + delay_ms;
+        self.faultless_from_ms = self.faultless_from_ms.max(due_ms);
+        self.recoveries.push(Due { due_ms, recovery });
     }
 
     fn inject(&mut self, cluster: &mut Cluster) {
-        let present = cluster.present();
-        let count = present.len() as u64;
-        let first = cluster.random_below(count) as usize;
-        let second = (first + 1 + cluster.random_below(count - 1) as usize) % count as usize;
-        let (node, other) = (present[first], present[second]);
-        let for_ms = 200 + cluster.random_below(4_000);
+        let present_nodes = cluster.present();
+        let count = present_nodes.len() as u64;
+        let first_index = cluster.random_below(count) as usize;
+        let second_index =
+            (first_index + 1 + cluster.random_below(count - 1) as usize) % count as usize;
+        let (node, other_node) = (present_nodes[first_index], present_nodes[second_index]);
+        let duration_ms = 200 + cluster.random_below(4_000);
         let kinds = if self.overlapping {
             OVERLAPPING_FAULT_KINDS
         } else {
             FAULT_KINDS
         };
         match FaultKind::of(cluster.random_below(kinds)) {
-            FaultKind::Kill => self.kill(cluster, node, 100 + for_ms / 3),
-            FaultKind::KillAll => present.into_iter().for_each(|node| {
-                let for_ms = 300 + cluster.random_below(2_000);
-                self.kill(cluster, node, for_ms);
+            FaultKind::Kill => self.kill(cluster, node, 100 + duration_ms / 3),
+            FaultKind::KillAll => present_nodes.into_iter().for_each(|node| {
+                let duration_ms = 300 + cluster.random_below(2_000);
+                self.kill(cluster, node, duration_ms);
             }),
             FaultKind::Freeze => {
-                cluster.freeze(node, for_ms);
-                self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + for_ms);
+                cluster.freeze(node, duration_ms);
+                self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + duration_ms);
             }
-            FaultKind::BlockDirection => self.block_link(cluster, node, other, for_ms),
+            FaultKind::BlockDirection => self.block_link(cluster, node, other_node, duration_ms),
             FaultKind::BlockLink => {
-                self.block_link(cluster, node, other, for_ms);
-                self.block_link(cluster, other, node, for_ms);
+                self.block_link(cluster, node, other_node, duration_ms);
+                self.block_link(cluster, other_node, node, duration_ms);
             }
-            FaultKind::Partition => self.partition(cluster, for_ms),
-            FaultKind::SlowDisk => self.slow_disk(cluster, node, for_ms),
-            FaultKind::DegradedNetwork => self.degrade_network(cluster, for_ms),
-            FaultKind::PlannedStop => self.planned_stop(cluster, node, for_ms),
+            FaultKind::Partition => self.partition(cluster, duration_ms),
+            FaultKind::SlowDisk => self.slow_disk(cluster, node, duration_ms),
+            FaultKind::DegradedNetwork => self.degrade_network(cluster, duration_ms),
+            FaultKind::PlannedStop => self.planned_stop(cluster, node, duration_ms),
             FaultKind::LoseDisk => self.lose_disk(cluster, node),
             FaultKind::Replace => self.replace(cluster, node),
-            FaultKind::PartitionIntoHalves => self.partition_into_halves(cluster, for_ms),
+            FaultKind::PartitionIntoHalves => self.partition_into_halves(cluster, duration_ms),
         }
     }
 
-    fn kill(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+    fn kill(&mut self, cluster: &mut Cluster, node: usize, duration_ms: u64) {
         if cluster.nodes[node].replica.is_some() {
             cluster.stop(node);
-            self.schedule_recovery(cluster, for_ms, Recovery::Start(node));
+            self.schedule_recovery(cluster, duration_ms, Recovery::Start(node));
         }
     }
 
-    fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, for_ms: u64) {
-        cluster.log_event(&format!("block {from} -> {to} for {for_ms}"));
+    fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, duration_ms: u64) {
+        cluster.log_event(&format!("block {from} -> {to} for {duration_ms}"));
         cluster.block_link(from, to);
-        self.schedule_recovery(cluster, for_ms, Recovery::UnblockLink(from, to));
+        self.schedule_recovery(cluster, duration_ms, Recovery::UnblockLink(from, to));
     }
 
-    fn partition(&mut self, cluster: &mut Cluster, for_ms: u64) {
+    fn partition(&mut self, cluster: &mut Cluster, duration_ms: u64) {
         let count = cluster.nodes.len();
         let sides: Vec<bool> = (0..count).map(|_| cluster.random_below(2) == 0).collect();
-        self.partition_by_side(cluster, &sides, for_ms);
+        self.partition_by_side(cluster, &sides, duration_ms);
     }
 
     /// Partitions the machines into two halves that are as equal as possible.
-    fn partition_into_halves(&mut self, cluster: &mut Cluster, for_ms: u64) {
+    fn partition_into_halves(&mut self, cluster: &mut Cluster, duration_ms: u64) {
         let first = cluster.random_below(2) == 0;
         let mut sides = vec![first; cluster.nodes.len()];
         for (position, node) in cluster.present().into_iter().enumerate() {
             sides[node] = (position % 2 == 0) == first;
         }
-        self.partition_by_side(cluster, &sides, for_ms);
+        self.partition_by_side(cluster, &sides, duration_ms);
     }
 
-    fn partition_by_side(&mut self, cluster: &mut Cluster, sides: &[bool], for_ms: u64) {
+    fn partition_by_side(&mut self, cluster: &mut Cluster, sides: &[bool], duration_ms: u64) {
         let present = cluster.present();
         for &from in &present {
             for &to in present.iter().filter(|&&to| sides[from] != sides[to]) {
-                self.block_link(cluster, from, to, for_ms);
+                self.block_link(cluster, from, to, duration_ms);
             }
         }
     }
 
-    fn slow_disk(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+    fn slow_disk(&mut self, cluster: &mut Cluster, node: usize, duration_ms: u64) {
         let fault = cluster.random_below(4) as usize;
-        cluster.log_event(&format!("disk fault {fault} at {node} for {for_ms}"));
+        cluster.log_event(&format!("disk fault {fault} at {node} for {duration_ms}"));
         cluster.nodes[node].disk_ms = [100, 400, 1_500, 9][fault];
         cluster.nodes[node].disk_fails_stores = fault == 3;
-        self.schedule_recovery(cluster, for_ms, Recovery::NormalDisk(node));
+        self.schedule_recovery(cluster, duration_ms, Recovery::NormalDisk(node));
     }
 
-    fn degrade_network(&mut self, cluster: &mut Cluster, for_ms: u64) {
-        cluster.log_event(&format!("degraded network for {for_ms}"));
+    fn degrade_network(&mut self, cluster: &mut Cluster, duration_ms: u64) {
+        cluster.log_event(&format!("degraded network for {duration_ms}"));
         cluster.loss_percent = cluster.random_below(40);
         cluster.duplicate_percent = if self.overlapping {
             cluster.random_below(30)
@@ -244,14 +245,14 @@
             0
         };
         cluster.delay_spread_ms = 1 + cluster.random_below(300);
-        self.schedule_recovery(cluster, for_ms, Recovery::NormalNetwork);
+        self.schedule_recovery(cluster, duration_ms, Recovery::NormalNetwork);
     }
 
-    fn planned_stop(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+    fn planned_stop(&mut self, cluster: &mut Cluster, node: usize, duration_ms: u64) {
         if cluster.nodes[node].replica.is_some() {
             cluster.step_down(node);
             self.schedule_recovery(cluster, 800, Recovery::Stop(node));
-            self.schedule_recovery(cluster, 900 + for_ms, Recovery::Start(node));
+            self.schedule_recovery(cluster, 900 + duration_ms, Recovery::Start(node));
         }
     }
 
@@ -262,13 +263,13 @@
             self.lose_disk_while_overlapping(cluster, node);
             return;
         }
-        let caught_up_ms = self.faultless_from_ms + CATCH_UP_MS;
-        if cluster.now_ms < caught_up_ms {
+        let catch_up_end_ms = self.faultless_from_ms + CATCH_UP_MS;
+        if cluster.now_ms < catch_up_end_ms {
             return;
         }
         cluster.wipe(node);
-        let back_ms = 100 + cluster.random_below(1_500);
-        self.schedule_recovery(cluster, back_ms, Recovery::Start(node));
+        let restart_delay_ms = 100 + cluster.random_below(1_500);
+        self.schedule_recovery(cluster, restart_delay_ms, Recovery::Start(node));
         if cluster.random_below(2) == 0 {
             self.kill_others(cluster, node);
         }
@@ -278,8 +279,8 @@
 
     fn kill_others(&mut self, cluster: &mut Cluster, node: usize) {
         for other in cluster.present().into_iter().filter(|&other| other != node) {
-            let back_ms = 300 + cluster.random_below(1_500);
-            self.kill(cluster, other, back_ms);
+            let restart_delay_ms = 300 + cluster.random_below(1_500);
+            self.kill(cluster, other, restart_delay_ms);
         }
     }
 
@@ -290,8 +291,8 @@
         }
         self.disk_lost = true;
         cluster.wipe(node);
-        let back_ms = 100 + cluster.random_below(4_000);
-        self.schedule_recovery(cluster, back_ms, Recovery::Start(node));
+        let restart_delay_ms = 100 + cluster.random_below(4_000);
+        self.schedule_recovery(cluster, restart_delay_ms, Recovery::Start(node));
         if cluster.random_below(3) == 0 {
             self.kill_others(cluster, node);
         }
@@ -303,23 +304,32 @@
         if self.disk_lost {
             return;
         }
-        let Some(new) = cluster.next_spare() else {
+        let Some(new_node) = cluster.next_spare() else {
             return;
         };
         self.disk_lost = true;
-        let (new_first, planned) = (cluster.random_below(2) == 0, cluster.random_below(2) == 0);
+        let (starts_new_first, is_planned) =
+            (cluster.random_below(2) == 0, cluster.random_below(2) == 0);
         let gap_ms = cluster.random_below(3_000);
         cluster.log_event(&format!(
-            "replace {node} by {new}, new first {new_first}, planned {planned}, gap {gap_ms}"
+            "replace {node} by {new_node}, new first {starts_new_first}, planned {is_planned}, gap {gap_ms}"
         ));
-        let leave_ms = if new_first { gap_ms } else { 0 };
-        if planned && leave_ms == 0 {
+        let leave_delay_ms = if starts_new_first { gap_ms } else { 0 };
+        if is_planned && leave_delay_ms == 0 {
             cluster.step_down(node);
         }
-        let stop_ms = if planned { leave_ms + 800 } else { leave_ms };
-        self.schedule_recovery(cluster, stop_ms, Recovery::Remove(node));
-        let install_ms = if new_first { 0 } else { stop_ms + gap_ms };
-        self.schedule_recovery(cluster, install_ms, Recovery::Install(new));
+        let stop_delay_ms = if is_planned {
+            leave_delay_ms + 800
+        } else {
+            leave_delay_ms
+        };
+        self.schedule_recovery(cluster, stop_delay_ms, Recovery::Remove(node));
+        let install_delay_ms = if starts_new_first {
+            0
+        } else {
+            stop_delay_ms + gap_ms
+        };
+        self.schedule_recovery(cluster, install_delay_ms, Recovery::Install(new_node));
     }
 }
 
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -7,9 +7,9 @@
 
 const SEEDS: u64 = 30;
 
-/// Runs the cluster for `for_ms` and returns the longest time without a committed write.
-fn longest_gap_ms(cluster: &mut Cluster, for_ms: u64) -> u64 {
-    let until_ms = cluster.now_ms + for_ms;
+/// Runs the cluster for `duration_ms` and returns the longest time without a committed write.
+fn longest_gap_ms(cluster: &mut Cluster, duration_ms: u64) -> u64 {
+    let until_ms = cluster.now_ms + duration_ms;
     let mut longest_ms = 0;
     let mut last_ms = cluster.now_ms;
     while cluster.now_ms < until_ms {
@@ -23,12 +23,12 @@
     longest_ms.max(until_ms - last_ms)
 }
 
-/// Runs the cluster for `for_ms` and checks that no time without a committed write is longer than `bound_ms`.
+/// Runs the cluster for `duration_ms` and checks that no time without a committed write is longer than `max_gap_ms`.
 #[track_caller]
-fn assert_write_gap(cluster: &mut Cluster, seed: u64, for_ms: u64, bound_ms: u64) {
-    let gap_ms = longest_gap_ms(cluster, for_ms);
+fn assert_write_gap(cluster: &mut Cluster, seed: u64, duration_ms: u64, max_gap_ms: u64) {
+    let gap_ms = longest_gap_ms(cluster, duration_ms);
     assert!(
-        gap_ms <= bound_ms,
+        gap_ms <= max_gap_ms,
         "seed {seed}: no committed write for {gap_ms} ms\n{}",
         cluster.describe()
     );
