--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -136,12 +136,12 @@
         let instance = self.instance.as_mut()?;
         let seq_no = heartbeat.seq_no;
         let changes = instance.handle_heartbeat(now_ms, heartbeat);
-        let confirmed = instance.is_confirmed();
+        let is_confirmed = instance.is_confirmed();
         self.schedule.expedite_if(changes.urgent);
         self.report_not_started(changes.not_started);
         Some(HeartbeatReceipt {
             seq_no,
-            expects_orders: changes.ended && confirmed && self.schedule.is_connected(),
+            expects_orders: changes.ended && is_confirmed && self.schedule.is_connected(),
         })
     }
 
@@ -149,11 +149,11 @@
     /// orders.
     pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
         self.enforce_authority(now_ms);
-        let newest = self
+        let newest_instance = self
             .instance
             .as_mut()
             .filter(|instance| instance.id() == id && instance.is_newest(seq_no));
-        let Some(instance) = newest else {
+        let Some(instance) = newest_instance else {
             return HeartbeatOutcome::Superseded;
         };
         let authority = &self.authority;
@@ -182,23 +182,23 @@
     /// runs: it ends after the worker has listed the end of each run and the head has acknowledged these ends, or when
     /// its leases expire.
     pub fn handle_deregistration(&mut self, id: &str) {
-        let current = self.instance.as_mut();
+        let current_instance = self.instance.as_mut();
         let Some(instance) =
-            current.filter(|instance| instance.id() == id && !instance.is_deregistered())
+            current_instance.filter(|instance| instance.id() == id && !instance.is_deregistered())
         else {
             return;
         };
         self.events.push(AgentEvent::Deregistered {
             instance: id.to_owned(),
         });
-        let withdrawn = instance.withdraw_unlisted();
+        let withdrawn_runs = instance.withdraw_unlisted();
         if instance.is_draining() || instance.is_idle() {
             self.end_instance();
         } else {
             instance.deregister();
             self.schedule.expedite_if(true);
         }
-        self.report_not_started(withdrawn);
+        self.report_not_started(withdrawn_runs);
     }
 
     /// Handles orders of the head. Orders with an epoch below the highest one received are dropped; of orders for an
@@ -212,11 +212,12 @@
         if let Some(echo_ms) = orders.echo_sent_ms {
             self.handle_echo(echo_ms);
         }
-        let current = self.instance.as_mut();
-        let Some(instance) = current.filter(|instance| instance.id() == orders.instance) else {
+        let current_instance = self.instance.as_mut();
+        let Some(instance) = current_instance.filter(|instance| instance.id() == orders.instance)
+        else {
             let has_current = self.instance.is_some();
-            let changed = self.former.handle_unknown(orders.instance, has_current);
-            self.schedule.expedite_if(changed);
+            let is_report_needed = self.former.handle_unknown(orders.instance, has_current);
+            self.schedule.expedite_if(is_report_needed);
             return;
         };
         if let Some(number) = orders.acknowledged_end {
@@ -276,8 +277,8 @@
         if self.former.is_closed(id) {
             return false;
         }
-        let current = self.instance.as_ref();
-        if current.is_some_and(|instance| instance.id() != id) {
+        let current_instance = self.instance.as_ref();
+        if current_instance.is_some_and(|instance| instance.id() != id) {
             self.end_instance();
         }
         let id = id.to_owned();
@@ -290,8 +291,12 @@
                 self.events.push(AgentEvent::Returned { instance });
             }
             None => {
-                let returned = self.former.is_ended(&id);
-                self.instance = Some(WorkerInstance::new(id.clone(), self.started_ms, returned));
+                let has_returned = self.former.is_ended(&id);
+                self.instance = Some(WorkerInstance::new(
+                    id.clone(),
+                    self.started_ms,
+                    has_returned,
+                ));
                 let instance = id.clone();
                 self.events.push(AgentEvent::Registered { instance });
             }
@@ -314,8 +319,8 @@
 
     /// Ends a deregistered instance that has no runs left and whose ends the head has all acknowledged.
     fn end_if_finished(&mut self) {
-        let current = self.instance.as_ref();
-        if current.is_some_and(WorkerInstance::is_finished) {
+        let current_instance = self.instance.as_ref();
+        if current_instance.is_some_and(WorkerInstance::is_finished) {
             self.end_instance();
         }
     }
@@ -339,8 +344,8 @@
             return;
         }
         if let Some(instance) = &mut self.instance {
-            let withdrawn = instance.withdraw_unlisted();
-            self.report_not_started(withdrawn);
+            let withdrawn_runs = instance.withdraw_unlisted();
+            self.report_not_started(withdrawn_runs);
         }
     }
 
@@ -348,30 +353,31 @@
     /// that the head's orders name but that has sent no heartbeat to this process, once the leases that a previous agent
     /// process may have granted to it have expired.
     fn expire_unresponsive(&mut self, now_ms: u64) {
-        let changed = self.former.expire_unknown(now_ms);
-        self.schedule.expedite_if(changed);
-        let current = self.instance.as_mut();
-        let Some(instance) = current.filter(|instance| instance.is_expiry_due(now_ms)) else {
+        let is_report_needed = self.former.expire_unknown(now_ms);
+        self.schedule.expedite_if(is_report_needed);
+        let current_instance = self.instance.as_mut();
+        let Some(instance) = current_instance.filter(|instance| instance.is_expiry_due(now_ms))
+        else {
             return;
         };
         let id = instance.id().to_owned();
-        let withdrawn = instance.expire();
-        self.report_not_started(withdrawn);
+        let withdrawn_runs = instance.expire();
+        self.report_not_started(withdrawn_runs);
         self.former.expire(id.clone());
         self.schedule.expedite_if(true);
         self.events.push(AgentEvent::Unresponsive { instance: id });
     }
 
     fn report_due_ms(&self) -> Option<u64> {
-        let pending = self.former.is_report_pending() || self.not_started.is_pending();
-        self.schedule.due_ms(pending)
+        let has_pending_updates = self.former.is_report_pending() || self.not_started.is_pending();
+        self.schedule.due_ms(has_pending_updates)
     }
 
     fn report(&mut self, now_ms: u64) -> AgentReport {
         self.schedule.handle_report_sent(now_ms);
         self.authority.handle_report_sent(now_ms);
-        let current = self.instance.as_mut();
-        let instance = current
+        let current_instance = self.instance.as_mut();
+        let instance = current_instance
             .filter(|instance| !instance.is_expired())
             .map(|instance| {
                 instance.handle_report_sent(now_ms);
--- a/crates/data-plane/src/agent/report_schedule.rs
+++ b/crates/data-plane/src/agent/report_schedule.rs
@@ -42,21 +42,21 @@
         self.connected
     }
 
-    /// Makes the next report due as soon as [`REPORT_SPACING_MS`] permits if `changed`.
-    pub(super) fn expedite_if(&mut self, changed: bool) {
-        self.urgent |= changed;
+    /// Makes the next report due as soon as [`REPORT_SPACING_MS`] permits if `is_report_needed`.
+    pub(super) fn expedite_if(&mut self, is_report_needed: bool) {
+        self.urgent |= is_report_needed;
     }
 
-    /// Time at which the next report is due; `None` without a connection. `pending`: there are updates that this
-    /// connection has not carried yet.
-    pub(super) fn due_ms(&self, pending: bool) -> Option<u64> {
+    /// Time at which the next report is due; `None` without a connection. `has_pending_updates`: there are updates
+    /// that this connection has not carried yet.
+    pub(super) fn due_ms(&self, has_pending_updates: bool) -> Option<u64> {
         if !self.connected {
             return None;
         }
         let Some(last_report_ms) = self.last_report_ms else {
             return Some(self.started_ms);
         };
-        let interval_ms = if self.urgent || pending {
+        let interval_ms = if self.urgent || has_pending_updates {
             REPORT_SPACING_MS
         } else {
             REPORT_INTERVAL_MS
--- a/crates/data-plane/src/agent/run_table.rs
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -51,9 +51,9 @@
     /// Rejects a start order that must not be carried out. Returns the run, which is then closed as not started, unless
     /// it is open or has ended.
     pub(super) fn refuse_start(&mut self, run: RunId) -> Option<RunId> {
-        let known =
+        let is_open_or_ended =
             self.entries.contains_key(&run) || self.closed.get(&run) == Some(CloseReason::Ended);
-        (!known).then(|| {
+        (!is_open_or_ended).then(|| {
             self.closed.insert(run, CloseReason::NotStarted);
             run
         })
@@ -81,8 +81,8 @@
     /// Withdraws all starts that the worker has not listed, and returns those that were never sent. Those that were
     /// sent are stopped.
     pub(super) fn withdraw_unlisted(&mut self) -> Vec<RunId> {
-        let unlisted = self.entries.iter().filter(|(_, entry)| !entry.is_running());
-        let runs: Vec<RunId> = unlisted.map(|(run, _)| *run).collect();
+        let unlisted_entries = self.entries.iter().filter(|(_, entry)| !entry.is_running());
+        let runs: Vec<RunId> = unlisted_entries.map(|(run, _)| *run).collect();
         runs.into_iter()
             .filter_map(|run| self.handle_stop(run))
             .collect()
@@ -95,25 +95,25 @@
         running: &[RunningRun],
         finished: &[FinishedRun],
     ) -> Vec<RunId> {
-        for listed in running {
+        for listed_run in running {
             self.entries
-                .entry(listed.run)
+                .entry(listed_run.run)
                 .or_insert_with(RunEntry::running)
                 .handle_listed();
         }
-        for ended in finished {
-            self.close(ended.run, CloseReason::Ended);
+        for finished_run in finished {
+            self.close(finished_run.run, CloseReason::Ended);
         }
         let mut not_started = Vec::new();
-        let mut ended = Vec::new();
+        let mut ended_runs = Vec::new();
         for (run, entry) in &mut self.entries {
             match entry.finish_heartbeat(seq_no) {
                 EntryOutcome::Kept => {}
                 EntryOutcome::NeverStarted => not_started.push(*run),
-                EntryOutcome::Ended => ended.push(*run),
+                EntryOutcome::Ended => ended_runs.push(*run),
             }
         }
-        self.close_all(&ended, CloseReason::Ended);
+        self.close_all(&ended_runs, CloseReason::Ended);
         self.close_all(&not_started, CloseReason::NotStarted);
         not_started
     }
@@ -121,11 +121,11 @@
     /// Returns the orders for the reply being built.
     pub(super) fn poll_orders(&mut self, context: ReplyContext) -> OutgoingOrders {
         let mut orders = OutgoingOrders::default();
-        let mut used = self.occupied();
+        let mut used_capacity = self.occupied();
         for (run, entry) in &mut self.entries {
-            match entry.poll_start(&context, &used, orders.start.len()) {
+            match entry.poll_start(&context, &used_capacity, orders.start.len()) {
                 StartDecision::Send(order) => {
-                    used = used.plus(entry.resources());
+                    used_capacity = used_capacity.plus(entry.resources());
                     orders.start.push(order);
                 }
                 StartDecision::Withdraw => orders.not_started.push(*run),
@@ -141,11 +141,11 @@
 
     /// The runs that were sent to the worker and that no heartbeat has listed yet.
     pub(super) fn in_flight(&self) -> Vec<RunId> {
-        let sent = self
+        let in_flight_entries = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.is_in_flight());
-        sent.map(|(run, _)| *run).collect()
+        in_flight_entries.map(|(run, _)| *run).collect()
     }
 
     /// Whether no run is ordered, sent or running.
@@ -155,12 +155,12 @@
 
     /// Capacity taken by runs that are running or being stopped, or that may be starting.
     fn occupied(&self) -> Resources {
-        let occupying = self
+        let occupying_entries = self
             .entries
             .values()
             .filter(|entry| entry.occupies_capacity());
-        occupying.fold(Resources::default(), |sum, entry| {
-            sum.plus(entry.resources())
+        occupying_entries.fold(Resources::default(), |total, entry| {
+            total.plus(entry.resources())
         })
     }
 
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -14,8 +14,8 @@
 enum Confirmation {
     /// No report has carried the instance.
     Unreported,
-    /// Reports sent at `since_ms` or later carry the instance; none of them has been acknowledged.
-    Reported { since_ms: u64 },
+    /// Reports sent at `first_sent_ms` or later carry the instance; none of them has been acknowledged.
+    Reported { first_sent_ms: u64 },
     /// An acting head has acknowledged a report that carries the instance.
     Confirmed,
 }
@@ -255,13 +255,16 @@
     /// Records that a report with this instance is being sent.
     pub(super) fn handle_report_sent(&mut self, now_ms: u64) {
         if self.confirmation == Confirmation::Unreported {
-            self.confirmation = Confirmation::Reported { since_ms: now_ms };
+            self.confirmation = Confirmation::Reported {
+                first_sent_ms: now_ms,
+            };
         }
     }
 
     /// Records that an acting head acknowledged the report sent at `echo_ms`.
     pub(super) fn handle_echo(&mut self, echo_ms: u64) {
-        if matches!(self.confirmation, Confirmation::Reported { since_ms } if since_ms <= echo_ms) {
+        if matches!(self.confirmation, Confirmation::Reported { first_sent_ms } if first_sent_ms <= echo_ms)
+        {
             self.confirmation = Confirmation::Confirmed;
         }
     }
@@ -298,10 +301,10 @@
 }
 
 /// Whether both lists contain the same runs with the same checkpoints in the same order.
-fn same_runs(before: &[RunningRun], after: &[RunningRun]) -> bool {
-    before.len() == after.len()
-        && before
+fn same_runs(previous_runs: &[RunningRun], current_runs: &[RunningRun]) -> bool {
+    previous_runs.len() == current_runs.len()
+        && previous_runs
             .iter()
-            .zip(after)
+            .zip(current_runs)
             .all(|(a, b)| a.run == b.run && a.checkpoint == b.checkpoint)
 }
--- a/crates/data-plane/src/core_link.rs
+++ b/crates/data-plane/src/core_link.rs
@@ -114,29 +114,29 @@
 
     /// Handles a connection that could not be opened or has ended.
     pub fn handle_disconnected(&mut self, now_ms: u64, connection: ConnectionId) {
-        if let Some(lost) = self
+        if let Some(lost_head) = self
             .attachment
             .take_if(|head| head.connection() == connection)
         {
-            self.candidates.back_off(lost.address(), now_ms);
+            self.candidates.back_off(lost_head.address(), now_ms);
             self.actions.push(LinkAction::Detached);
         }
-        if let Some(failed) = self.search.remove(connection) {
-            self.candidates.back_off(failed.address, now_ms);
+        if let Some(failed_connection) = self.search.remove(connection) {
+            self.candidates.back_off(failed_connection.address, now_ms);
         }
         self.handle_timeout(now_ms);
     }
 
     /// Handles a welcome, in which a member names the view, head and members that it knows.
     pub fn handle_welcome(&mut self, now_ms: u64, connection: ConnectionId, welcome: &Welcome) {
-        let named = welcome.members.iter().chain(&welcome.head);
-        let addresses: Vec<SocketAddr> = named.map(|member| member.internal).collect();
+        let named_members = welcome.members.iter().chain(&welcome.head);
+        let addresses: Vec<SocketAddr> = named_members.map(|member| member.internal).collect();
         self.candidates.set_members(&addresses);
         if let Some(address) = self.hint.handle_welcome(welcome) {
             self.candidates.clear_backoff(address);
             // A connection attempt that began while the head's machine was down would hang until its timeout.
-            let hanging = self.search.remove_dialling(address);
-            self.close_all(hanging);
+            let hanging_connections = self.search.remove_dialling(address);
+            self.close_all(hanging_connections);
         }
         if self.attached() == Some(connection) {
             self.handle_head_welcome(now_ms, welcome);
@@ -170,8 +170,8 @@
             self.probe_idle(now_ms);
         }
         if !self.is_searching(now_ms) {
-            let unused = self.search.clear();
-            self.close_all(unused);
+            let unused_connections = self.search.clear();
+            self.close_all(unused_connections);
             return;
         }
         self.dial_named_head(now_ms);
@@ -187,16 +187,17 @@
     /// The latest time at which to call [`CoreLink::handle_timeout`] next; `None` if nothing is due.
     pub fn next_timeout_ms(&self, now_ms: u64) -> Option<u64> {
         let attachment = self.attachment.as_ref();
-        let head_ms = attachment.and_then(|head| head.next_timeout_ms(now_ms, self.idle_probing));
+        let head_due_ms =
+            attachment.and_then(|head| head.next_timeout_ms(now_ms, self.idle_probing));
         if !self.is_searching(now_ms) {
-            return head_ms;
+            return head_due_ms;
         }
-        let dial_ms = if self.search.is_full() {
+        let dial_due_ms = if self.search.is_full() {
             None
         } else {
             self.candidates.next_attempt_ms(&self.addresses_in_use())
         };
-        [head_ms, self.search.next_timeout_ms(), dial_ms]
+        [head_due_ms, self.search.next_timeout_ms(), dial_due_ms]
             .into_iter()
             .flatten()
             .min()
@@ -217,13 +218,13 @@
     /// Detaches from a head that has timed out and closes the connection. The address is dialled again after its
     /// backoff, since a new connection opens sooner than the old one recovers once a network partition has healed.
     fn detach_unresponsive(&mut self, now_ms: u64) {
-        let Some(lost) = self.attachment.take_if(|head| head.is_timed_out(now_ms)) else {
+        let Some(lost_head) = self.attachment.take_if(|head| head.is_timed_out(now_ms)) else {
             return;
         };
-        self.hint.forget(lost.address());
-        self.candidates.back_off(lost.address(), now_ms);
+        self.hint.forget(lost_head.address());
+        self.candidates.back_off(lost_head.address(), now_ms);
         self.actions.push(LinkAction::Detached);
-        self.actions.push(LinkAction::Close(lost.connection()));
+        self.actions.push(LinkAction::Close(lost_head.connection()));
     }
 
     /// Probes a head that has been idle; it is not probed again until it has sent a frame.
@@ -243,9 +244,9 @@
             if let Some(attachment) = &mut self.attachment {
                 attachment.handle_welcome(welcome);
             }
-        } else if let Some(former) = self.attachment.take() {
+        } else if let Some(former_head) = self.attachment.take() {
             self.search
-                .listen(now_ms, former.connection(), former.address());
+                .listen(now_ms, former_head.connection(), former_head.address());
             self.actions.push(LinkAction::Detached);
         }
     }
@@ -257,31 +258,33 @@
         let is_newer_head = welcome.acting && known_view.is_none_or(|view| view < welcome.view);
         if !is_newer_head {
             self.search.handle_welcome(now_ms, connection);
-        } else if let Some(found) = self.search.remove(connection) {
-            self.attach(now_ms, found, welcome);
+        } else if let Some(head_connection) = self.search.remove(connection) {
+            self.attach(now_ms, head_connection, welcome);
         }
     }
 
-    fn attach(&mut self, now_ms: u64, found: RemovedConnection, welcome: &Welcome) {
-        let attachment = Attachment::new(now_ms, found.id, found.address, welcome);
-        if let Some(former) = self.attachment.replace(attachment) {
+    fn attach(&mut self, now_ms: u64, head_connection: RemovedConnection, welcome: &Welcome) {
+        let attachment =
+            Attachment::new(now_ms, head_connection.id, head_connection.address, welcome);
+        if let Some(former_head) = self.attachment.replace(attachment) {
             self.actions.push(LinkAction::Detached);
-            self.actions.push(LinkAction::Close(former.connection()));
+            self.actions
+                .push(LinkAction::Close(former_head.connection()));
         }
-        self.actions.push(LinkAction::Attached(found.id));
+        self.actions.push(LinkAction::Attached(head_connection.id));
     }
 
     fn close_expired(&mut self, now_ms: u64) {
-        for expired in self.search.remove_expired(now_ms) {
-            self.candidates.back_off(expired.address, now_ms);
-            self.actions.push(LinkAction::Close(expired.id));
+        for expired_connection in self.search.remove_expired(now_ms) {
+            self.candidates.back_off(expired_connection.address, now_ms);
+            self.actions.push(LinkAction::Close(expired_connection.id));
         }
     }
 
-    fn close_all(&mut self, removed: Vec<RemovedConnection>) {
-        let closes = removed
+    fn close_all(&mut self, removed_connections: Vec<RemovedConnection>) {
+        let closes = removed_connections
             .into_iter()
-            .map(|removed| LinkAction::Close(removed.id));
+            .map(|connection| LinkAction::Close(connection.id));
         self.actions.extend(closes);
     }
 
@@ -305,7 +308,7 @@
     }
 
     fn addresses_in_use(&self) -> Vec<SocketAddr> {
-        let attached = self.attachment.as_ref().map(Attachment::address);
-        self.search.addresses().chain(attached).collect()
+        let head_address = self.attachment.as_ref().map(Attachment::address);
+        self.search.addresses().chain(head_address).collect()
     }
 }
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -20,8 +20,8 @@
 /// Addresses of core members, dialled in rotation.
 #[derive(Debug)]
 pub(super) struct Candidates {
-    known: Vec<Candidate>,
-    /// Index in `known` at which the next search for an available address begins.
+    entries: Vec<Candidate>,
+    /// Index in `entries` at which the next search for an available address begins.
     next_index: usize,
     random: Rng,
 }
@@ -31,21 +31,21 @@
     /// spread over the members.
     pub(super) fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         let mut candidates = Candidates {
-            known: Vec::new(),
+            entries: Vec::new(),
             next_index: 0,
             random: Rng::with_seed(random_seed),
         };
         candidates.set_seeds(seeds);
-        candidates.next_index = candidates.random.usize(..candidates.known.len().max(1));
+        candidates.next_index = candidates.random.usize(..candidates.entries.len().max(1));
         candidates
     }
 
     /// Replaces the seeds by those of reloaded settings. Former seeds stay until [`Candidates::set_members`] removes
     /// those that are not members.
     pub(super) fn set_seeds(&mut self, seeds: &[SocketAddr]) {
-        self.known
+        self.entries
             .iter_mut()
-            .for_each(|known| known.is_seed = seeds.contains(&known.address));
+            .for_each(|candidate| candidate.is_seed = seeds.contains(&candidate.address));
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
@@ -54,8 +54,8 @@
         if members.is_empty() {
             return;
         }
-        self.known
-            .retain(|known| known.is_seed || members.contains(&known.address));
+        self.entries
+            .retain(|candidate| candidate.is_seed || members.contains(&candidate.address));
         members.iter().for_each(|member| self.add(*member, false));
     }
 
@@ -65,12 +65,12 @@
         now_ms: u64,
         addresses_in_use: &[SocketAddr],
     ) -> Option<SocketAddr> {
-        let count = self.known.len();
+        let count = self.entries.len();
         for offset in 0..count {
             let index = (self.next_index + offset) % count;
             if self.is_available(index, now_ms, addresses_in_use) {
                 self.next_index = index + 1;
-                return Some(self.known[index].address);
+                return Some(self.entries[index].address);
             }
         }
         None
@@ -78,42 +78,59 @@
 
     /// Whether the backoff of this address is over; `true` for an unknown address.
     pub(super) fn may_dial(&self, address: SocketAddr, now_ms: u64) -> bool {
-        let known = self.known.iter().find(|known| known.address == address);
-        known.is_none_or(|known| known.not_before_ms <= now_ms)
+        let candidate = self
+            .entries
+            .iter()
+            .find(|candidate| candidate.address == address);
+        candidate.is_none_or(|candidate| candidate.not_before_ms <= now_ms)
     }
 
     /// Starts a random backoff of this address after a connection to it failed or was given up.
     pub(super) fn back_off(&mut self, address: SocketAddr, now_ms: u64) {
         let backoff_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
-        if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
-            known.not_before_ms = now_ms + backoff_ms;
+        if let Some(candidate) = self
+            .entries
+            .iter_mut()
+            .find(|candidate| candidate.address == address)
+        {
+            candidate.not_before_ms = now_ms + backoff_ms;
         }
     }
 
     /// Ends the backoff of this address, because a member has named it as the address of a new view's head.
     pub(super) fn clear_backoff(&mut self, address: SocketAddr) {
-        if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
-            known.not_before_ms = 0;
+        if let Some(candidate) = self
+            .entries
+            .iter_mut()
+            .find(|candidate| candidate.address == address)
+        {
+            candidate.not_before_ms = 0;
         }
     }
 
     /// Earliest time at which an address that is not among `addresses_in_use` may be dialled; `None` if there is none.
     pub(super) fn next_attempt_ms(&self, addresses_in_use: &[SocketAddr]) -> Option<u64> {
-        let unused = self
-            .known
+        let unused_candidates = self
+            .entries
             .iter()
-            .filter(|known| !addresses_in_use.contains(&known.address));
-        unused.map(|known| known.not_before_ms).min()
+            .filter(|candidate| !addresses_in_use.contains(&candidate.address));
+        unused_candidates
+            .map(|candidate| candidate.not_before_ms)
+            .min()
     }
 
     fn is_available(&self, index: usize, now_ms: u64, addresses_in_use: &[SocketAddr]) -> bool {
-        let candidate = &self.known[index];
+        let candidate = &self.entries[index];
         candidate.not_before_ms <= now_ms && !addresses_in_use.contains(&candidate.address)
     }
 
     fn add(&mut self, address: SocketAddr, is_seed: bool) {
-        if !self.known.iter().any(|known| known.address == address) {
-            self.known.push(Candidate {
+        if !self
+            .entries
+            .iter()
+            .any(|candidate| candidate.address == address)
+        {
+            self.entries.push(Candidate {
                 address,
                 is_seed,
                 not_before_ms: 0,
--- a/crates/data-plane/src/core_link/search.rs
+++ b/crates/data-plane/src/core_link/search.rs
@@ -29,7 +29,7 @@
     address: SocketAddr,
     stage: Stage,
     /// Time at which the connection is given up unless it reaches the next stage or a welcome arrives.
-    until_ms: u64,
+    deadline_ms: u64,
 }
 
 /// A connection that no longer belongs to the search.
@@ -83,7 +83,7 @@
             id,
             address,
             stage: Stage::Dialling,
-            until_ms: now_ms + CONNECT_TIMEOUT_MS,
+            deadline_ms: now_ms + CONNECT_TIMEOUT_MS,
         });
         id
     }
@@ -94,7 +94,7 @@
             id,
             address,
             stage: Stage::Listening,
-            until_ms: now_ms + LISTEN_MS,
+            deadline_ms: now_ms + LISTEN_MS,
         });
     }
 
@@ -120,7 +120,7 @@
 
     /// Removes the connections that are to be given up by now.
     pub(super) fn remove_expired(&mut self, now_ms: u64) -> Vec<RemovedConnection> {
-        self.remove_if(|connection| connection.until_ms <= now_ms)
+        self.remove_if(|connection| connection.deadline_ms <= now_ms)
     }
 
     /// Removes the connections to this address that have not opened yet.
@@ -139,15 +139,15 @@
     pub(super) fn next_timeout_ms(&self) -> Option<u64> {
         self.connections
             .iter()
-            .map(|connection| connection.until_ms)
+            .map(|connection| connection.deadline_ms)
             .min()
     }
 
-    fn set_stage(&mut self, id: ConnectionId, stage: Stage, until_ms: u64) {
+    fn set_stage(&mut self, id: ConnectionId, stage: Stage, deadline_ms: u64) {
         let mut connections = self.connections.iter_mut();
         if let Some(connection) = connections.find(|connection| connection.id == id) {
             connection.stage = stage;
-            connection.until_ms = until_ms;
+            connection.deadline_ms = deadline_ms;
         }
     }
 
