--- a/crates/control-plane/src/command_line.rs
+++ b/crates/control-plane/src/command_line.rs
@@ -71,11 +71,11 @@
     let log_level = arguments
         .opt_value_from_str("--log-level")
         .context(LogLevelSnafu)?;
-    let rest = arguments.finish();
+    let unused_arguments = arguments.finish();
     ensure!(
-        rest.is_empty(),
+        unused_arguments.is_empty(),
         UnknownSnafu {
-            argument: rest.into_iter().next().unwrap_or_default()
+            argument: unused_arguments.into_iter().next().unwrap_or_default()
         }
     );
     Ok(Command::Run {
--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -102,7 +102,7 @@
         if self.replica.next_timer_ms() <= clocks.steady_ms {
             self.replica_input(clocks, indigofold_replication::Input::Timer);
         }
-        if self.scheduler_timer_ms(clocks) <= clocks.steady_ms {
+        if self.scheduler_timer_due_ms(clocks) <= clocks.steady_ms {
             self.scheduler_event(clocks, Event::Timer);
         }
         if self.head_role.load_due_ms() <= clocks.steady_ms {
@@ -120,7 +120,7 @@
     pub fn next_timeout_ms(&self, clocks: Clocks) -> u64 {
         let timers = [
             self.replica.next_timer_ms(),
-            self.scheduler_timer_ms(clocks),
+            self.scheduler_timer_due_ms(clocks),
             self.scrub.due_ms(),
             self.peers.next_due_ms(),
         ];
@@ -150,11 +150,11 @@
 
     /// Whether writes need this member: it is the head, or it is in the chain of the view that it accepted last.
     pub fn is_needed(&self) -> bool {
-        let own = self.replica.member();
+        let own_member = self.replica.member();
         let in_chain = self
             .replica
             .accepted_view()
-            .is_some_and(|(view, _)| view.chain.contains(&own));
+            .is_some_and(|(view, _)| view.chain.contains(&own_member));
         self.is_head() || in_chain
     }
 
@@ -170,7 +170,7 @@
 
     /// Returns when the scheduler's timer is due, on the monotonic clock; [`u64::MAX`] while this member is not the
     /// acting head.
-    fn scheduler_timer_ms(&self, clocks: Clocks) -> u64 {
+    fn scheduler_timer_due_ms(&self, clocks: Clocks) -> u64 {
         match self.head_role.leading() {
             Some(head) if self.replica.may_act(clocks.steady_ms) => head.next_timer_ms(),
             _ => u64::MAX,
--- a/crates/control-plane/src/core_member/announcement.rs
+++ b/crates/control-plane/src/core_member/announcement.rs
@@ -19,12 +19,12 @@
 
 impl Announcement {
     /// Returns the announcement of a member that knows only its own address. A refresh is due at once.
-    pub(super) fn new(own: &MemberAddress) -> Self {
+    pub(super) fn new(own_address: &MemberAddress) -> Self {
         Announcement {
             welcome: Welcome {
                 view: 0,
                 head: None,
-                members: vec![own.clone()],
+                members: vec![own_address.clone()],
                 acting: false,
                 config_version: 0,
                 limits: IngressLimits::default(),
@@ -74,31 +74,35 @@
 }
 
 /// Logs one line for each difference that is of interest to an operator.
-fn log_changes(old: &Welcome, new: &Welcome) {
-    if new.view != old.view {
-        log::info!("view changed view={} previous={}", new.view, old.view);
+fn log_changes(old_welcome: &Welcome, new_welcome: &Welcome) {
+    if new_welcome.view != old_welcome.view {
+        log::info!(
+            "view changed view={} previous={}",
+            new_welcome.view,
+            old_welcome.view
+        );
     }
-    let (old_head, new_head) = (head_name(old), head_name(new));
+    let (old_head, new_head) = (head_name(old_welcome), head_name(new_welcome));
     if new_head != old_head {
         match new_head {
             Some(head) => log::info!("head known head={head}"),
             None => log::info!("no head known"),
         }
     }
-    if new.acting != old.acting {
-        let view = new.view;
-        if new.acting {
+    if new_welcome.acting != old_welcome.acting {
+        let view = new_welcome.view;
+        if new_welcome.acting {
             log::info!("acting as head view={view}");
         } else {
             log::info!("no longer acting as head view={view}");
         }
     }
-    let (before, after) = (member_names(old), member_names(new));
-    for joined in after.difference(&before) {
-        log::info!("member added member={joined}");
+    let (old_members, new_members) = (member_names(old_welcome), member_names(new_welcome));
+    for added_member in new_members.difference(&old_members) {
+        log::info!("member added member={added_member}");
     }
-    for left in before.difference(&after) {
-        log::info!("member removed member={left}");
+    for removed_member in old_members.difference(&new_members) {
+        log::info!("member removed member={removed_member}");
     }
 }
 
--- a/crates/control-plane/src/core_member/head_outputs.rs
+++ b/crates/control-plane/src/core_member/head_outputs.rs
@@ -15,14 +15,14 @@
         let Some(head) = self.head_role.leading_mut() else {
             return;
         };
-        let mut outputs = Vec::new();
-        head.handle_event(clocks, event, &mut outputs);
-        self.apply_head_outputs(clocks, outputs);
+        let mut head_outputs = Vec::new();
+        head.handle_event(clocks, event, &mut head_outputs);
+        self.apply_head_outputs(clocks, head_outputs);
     }
 
     /// Carries out outputs of the head, in order.
-    pub(super) fn apply_head_outputs(&mut self, clocks: Clocks, outputs: Vec<HeadOutput>) {
-        for output in outputs {
+    pub(super) fn apply_head_outputs(&mut self, clocks: Clocks, head_outputs: Vec<HeadOutput>) {
+        for output in head_outputs {
             match output {
                 HeadOutput::Submit { write_id, changes } => {
                     self.replica_input(clocks, ReplicaInput::Submit { write_id, changes });
--- a/crates/control-plane/src/core_member/head_transitions.rs
+++ b/crates/control-plane/src/core_member/head_transitions.rs
@@ -51,11 +51,11 @@
     /// are closed.
     pub(super) fn head_lost(&mut self, clocks: Clocks, reason: HeadLossReason) {
         log::info!("no longer head reason={reason}");
-        let mut outputs = Vec::new();
-        if !self.head_role.resign(&mut outputs) {
+        let mut head_outputs = Vec::new();
+        if !self.head_role.resign(&mut head_outputs) {
             return;
         }
-        self.apply_head_outputs(clocks, outputs);
+        self.apply_head_outputs(clocks, head_outputs);
         // Calls without a reply may or may not have been written. Closing the connections tells the edges that the results are
         // unknown.
         for connection in self.sessions.with_open_calls() {
@@ -71,22 +71,23 @@
         }
     }
 
-    /// Starts the [`ActingHead`] of `view` with the rows that were read. From now on this member is the acting head while its lease holds.
+    /// Starts the [`ActingHead`] of `view` with the rows that were read. From now on this member is the acting head while its
+    /// lease holds.
     pub(super) fn rows_loaded(&mut self, clocks: Clocks, view: ViewNumber, rows: Vec<StoredRow>) {
         if !self.head_role.is_loading(view) {
             return;
         }
-        let count = rows.len();
-        let mut outputs = Vec::new();
-        let result = self
-            .head_role
-            .lead(self.settings.bounds, view, clocks, rows, &mut outputs);
+        let row_count = rows.len();
+        let mut head_outputs = Vec::new();
+        let result =
+            self.head_role
+                .lead(self.settings.bounds, view, clocks, rows, &mut head_outputs);
         if let Err(error) = result {
             log::error!("loaded rows are not usable, will retry view={view} error={error}");
             return self.head_role.load_failed(view, clocks.steady_ms);
         }
-        log::info!("rows loaded view={view} rows={count}");
-        self.apply_head_outputs(clocks, outputs);
+        log::info!("rows loaded view={view} rows={row_count}");
+        self.apply_head_outputs(clocks, head_outputs);
         for (agent, node_name) in self.sessions.agents() {
             self.scheduler_event(clocks, Event::AgentConnected { agent, node_name });
         }
@@ -98,9 +99,9 @@
         let Some(head) = self.head_role.leading_mut() else {
             return;
         };
-        let mut outputs = Vec::new();
-        head.committed(clocks, write_id, &mut outputs);
-        self.apply_head_outputs(clocks, outputs);
+        let mut head_outputs = Vec::new();
+        head.committed(clocks, write_id, &mut head_outputs);
+        self.apply_head_outputs(clocks, head_outputs);
     }
 
     /// Handles a write that will not be confirmed. If the current head submitted it, the head's state may differ from the stored
--- a/crates/control-plane/src/core_member/membership.rs
+++ b/crates/control-plane/src/core_member/membership.rs
@@ -10,9 +10,9 @@
 impl CoreMember {
     /// Passes the members in another member's welcome to the replica.
     pub(super) fn handle_welcome(&mut self, clocks: Clocks, welcome: Welcome) {
-        let own = self.settings.address.internal;
+        let own_address = self.settings.address.internal;
         let others = welcome.members.into_iter();
-        for address in others.filter(|member| member.internal != own) {
+        for address in others.filter(|member| member.internal != own_address) {
             self.replica_input(clocks, ReplicaInput::MemberDiscovered { address });
         }
         self.announcement.invalidate();
@@ -44,16 +44,18 @@
 
     /// Updates the set of members to keep a connection to: those that the replica knows, and the seeds.
     fn update_peers(&mut self, now_ms: u64) {
-        let known = self
+        let known_addresses = self
             .replica
             .peers()
             .into_iter()
             .chain(self.settings.seeds.iter().copied());
-        let own = self.settings.address.internal;
-        let addresses: BTreeSet<SocketAddr> = known.filter(|address| *address != own).collect();
-        let surplus = self.peers.set_addresses(now_ms, addresses).into_iter();
+        let own_address = self.settings.address.internal;
+        let addresses: BTreeSet<SocketAddr> = known_addresses
+            .filter(|address| *address != own_address)
+            .collect();
+        let surplus_connections = self.peers.set_addresses(now_ms, addresses).into_iter();
         self.outputs
-            .extend(surplus.map(|connection| Output::Close { connection }));
+            .extend(surplus_connections.map(|connection| Output::Close { connection }));
     }
 
     fn current_welcome(&self, now_ms: u64, acting: bool, config_version: u64) -> Welcome {
@@ -71,10 +73,13 @@
 
     /// Returns this member and those that it knows, in the order of their internal addresses.
     fn all_members(&self) -> Vec<MemberAddress> {
-        let own = &self.settings.address;
+        let own_address = &self.settings.address;
         let mut members = self.replica.members();
-        if !members.iter().any(|member| member.internal == own.internal) {
-            members.push(own.clone());
+        if !members
+            .iter()
+            .any(|member| member.internal == own_address.internal)
+        {
+            members.push(own_address.clone());
         }
         members.sort_by_key(|member| member.internal);
         members
--- a/crates/control-plane/src/core_member/requests.rs
+++ b/crates/control-plane/src/core_member/requests.rs
@@ -28,8 +28,8 @@
             return self.send(connection, Frame::Reply(reply));
         }
         self.sessions.call_opened(connection);
-        let from = CallerId(connection.0);
-        self.scheduler_event(clocks, Event::Call { from, call });
+        let caller = CallerId(connection.0);
+        self.scheduler_event(clocks, Event::Call { from: caller, call });
     }
 
     /// Handles a node agent's report. A member that is not the acting head ignores it, so that the agent searches for the acting
@@ -62,9 +62,9 @@
         };
         match request {
             OperatorRequest::Change(change) => {
-                let mut outputs = Vec::new();
-                head.handle_change(clocks, call, change, &mut outputs);
-                self.apply_head_outputs(clocks, outputs);
+                let mut head_outputs = Vec::new();
+                head.handle_change(clocks, call, change, &mut head_outputs);
+                self.apply_head_outputs(clocks, head_outputs);
             }
             OperatorRequest::Read => {
                 let text = head.config_text().map(<[u8]>::to_vec);
@@ -76,11 +76,11 @@
 
     /// Returns the response of a member that is not the acting head: a redirect to the head, if it knows one.
     fn redirect(&self, now_ms: u64) -> OperatorResponse {
-        let own = self.settings.address.internal;
+        let own_address = self.settings.address.internal;
         let head = self
             .replica
             .head(now_ms)
-            .filter(|head| head.internal != own);
+            .filter(|head| head.internal != own_address);
         head.map_or(OperatorResponse::NoHead, |head| {
             OperatorResponse::RedirectToHead(head.control)
         })
--- a/crates/control-plane/src/core_member/scrub.rs
+++ b/crates/control-plane/src/core_member/scrub.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct Scrub {
     /// Key of the last row that was checked; empty at the start of the table.
-    after: Vec<u8>,
+    last_key: Vec<u8>,
     /// When the next request is due, on the monotonic clock; `None` while a request is open.
     due_ms: Option<u64>,
 }
@@ -22,7 +22,7 @@
     /// Returns a scrub whose first request is due after one interval.
     pub(super) fn new(now_ms: u64) -> Scrub {
         Scrub {
-            after: Vec::new(),
+            last_key: Vec::new(),
             due_ms: Some(now_ms + SCRUB_INTERVAL_MS),
         }
     }
@@ -39,7 +39,7 @@
         }
         self.due_ms = None;
         Some(StorageRequest::Scrub {
-            after: self.after.clone(),
+            after: self.last_key.clone(),
             count: SCRUB_ROWS,
         })
     }
@@ -47,8 +47,8 @@
     /// Ends the open request. The result is the key of the last row that was checked, or `None` at the end of the table, where
     /// the scrub starts over. After an error the same rows are requested again.
     pub(super) fn finish(&mut self, now_ms: u64, result: Result<Option<Vec<u8>>, StorageError>) {
-        if let Ok(last) = result {
-            self.after = last.unwrap_or_default();
+        if let Ok(checked_key) = result {
+            self.last_key = checked_key.unwrap_or_default();
         }
         self.due_ms = Some(now_ms + SCRUB_INTERVAL_MS);
     }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -28,8 +28,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    /// Closed; to be dialled at `until_ms` on the monotonic clock.
-    Waiting { until_ms: u64 },
+    /// Closed; to be dialled at `dial_due_ms` on the monotonic clock.
+    Waiting { dial_due_ms: u64 },
     /// [`Peers::poll_dials`] has returned the address; the result of the dial is not known yet.
     Dialling,
     /// Connected.
@@ -58,52 +58,56 @@
         now_ms: u64,
         addresses: BTreeSet<SocketAddr>,
     ) -> Vec<ConnectionId> {
-        let mut surplus = Vec::new();
+        let mut surplus_connections = Vec::new();
         self.links.retain(|address, link| {
-            let kept = addresses.contains(address);
-            if let (false, LinkState::Open(connection)) = (kept, link.state) {
-                surplus.push(connection);
+            let is_kept = addresses.contains(address);
+            if let (false, LinkState::Open(connection)) = (is_kept, link.state) {
+                surplus_connections.push(connection);
             }
-            kept
+            is_kept
         });
         for address in addresses {
-            let new = Link {
-                state: LinkState::Waiting { until_ms: now_ms },
+            let new_link = Link {
+                state: LinkState::Waiting {
+                    dial_due_ms: now_ms,
+                },
                 failures: 0,
             };
-            self.links.entry(address).or_insert(new);
+            self.links.entry(address).or_insert(new_link);
         }
-        surplus
+        surplus_connections
     }
 
     /// Returns the addresses to dial now. The caller reports each result with [`Self::dial_succeeded`] or
     /// [`Self::dial_failed`].
     pub fn poll_dials(&mut self, now_ms: u64) -> Vec<SocketAddr> {
-        let mut due = Vec::new();
+        let mut due_addresses = Vec::new();
         for (address, link) in &mut self.links {
-            if matches!(link.state, LinkState::Waiting { until_ms } if until_ms <= now_ms) {
+            if matches!(link.state, LinkState::Waiting { dial_due_ms } if dial_due_ms <= now_ms) {
                 link.state = LinkState::Dialling;
-                due.push(*address);
+                due_addresses.push(*address);
             }
         }
-        due
+        due_addresses
     }
 
     /// Returns when [`Self::poll_dials`] is due, on the monotonic clock in milliseconds; [`u64::MAX`] if no dial is
     /// scheduled.
     pub fn next_due_ms(&self) -> u64 {
-        let waiting = self.links.values().filter_map(|link| match link.state {
-            LinkState::Waiting { until_ms } => Some(until_ms),
+        let dial_due_times_ms = self.links.values().filter_map(|link| match link.state {
+            LinkState::Waiting { dial_due_ms } => Some(dial_due_ms),
             LinkState::Dialling | LinkState::Open(_) => None,
         });
-        waiting.min().unwrap_or(u64::MAX)
+        dial_due_times_ms.min().unwrap_or(u64::MAX)
     }
 
     /// Schedules a dial at once to a peer that has just connected to this member and is therefore up. A dial in progress does
     /// not prevent that: it may have begun while the peer's machine was down, and would then hang until its timeout.
     pub fn peer_connected(&mut self, now_ms: u64, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) {
-            link.state = LinkState::Waiting { until_ms: now_ms };
+            link.state = LinkState::Waiting {
+                dial_due_ms: now_ms,
+            };
         }
     }
 
@@ -129,18 +133,19 @@
 
     /// Schedules the next dial, with exponential backoff and jitter: the wait is between half of the backoff and all of it.
     fn schedule_retry(&mut self, now_ms: u64, address: SocketAddr) {
-        let wait_ms = self
+        let longest_wait_ms = self
             .links
             .get(&address)
             .map(|link| backoff_ms(link.failures));
-        let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.random_up_to(longest / 2))
+        let Some(wait_ms) =
+            longest_wait_ms.map(|longest_ms| longest_ms / 2 + self.random_up_to(longest_ms / 2))
         else {
             return;
         };
         if let Some(link) = self.links.get_mut(&address) {
             *link = Link {
                 state: LinkState::Waiting {
-                    until_ms: now_ms + wait_ms,
+                    dial_due_ms: now_ms + wait_ms,
                 },
                 failures: link.failures.saturating_add(1),
             };
@@ -154,11 +159,11 @@
         now_ms: u64,
         connection: ConnectionId,
     ) -> Option<SocketAddr> {
-        let open = LinkState::Open(connection);
+        let open_state = LinkState::Open(connection);
         let address = self
             .links
             .iter()
-            .find(|(_, link)| link.state == open)
+            .find(|(_, link)| link.state == open_state)
             .map(|(address, _)| *address)?;
         self.schedule_retry(now_ms, address);
         Some(address)
