--- a/crates/control-plane/src/core_member/connections.rs
+++ b/crates/control-plane/src/core_member/connections.rs
@@ -77,7 +77,7 @@
 
     /// Checks that the process at the other end of the connection may send this kind of frame.
     fn check_sender(&self, connection: ConnectionId, frame: &Frame) -> Result<(), FrameError> {
-        let (name, sender) = match frame {
+        let (frame_name, permitted_sender) = match frame {
             Frame::Replication(_) => ("Replication", Some(ProcessKind::Core)),
             Frame::Call(_) => ("Call", Some(ProcessKind::Edge)),
             Frame::Report(_) => ("Report", Some(ProcessKind::Agent)),
@@ -89,11 +89,11 @@
         let session = self
             .sessions
             .get(connection)
-            .context(BeforeHelloSnafu { frame: name })?;
+            .context(BeforeHelloSnafu { frame: frame_name })?;
         ensure!(
-            sender == Some(session.kind),
+            permitted_sender == Some(session.kind),
             UnexpectedSenderSnafu {
-                frame: name,
+                frame: frame_name,
                 kind: session.kind,
                 node_name: &session.node_name
             }
@@ -108,8 +108,8 @@
             Ok(envelope) => self.replica_input(clocks, ReplicaInput::Message(envelope)),
             Err(error) => {
                 let session = self.sessions.get(connection);
-                let from = session.map_or("", |session| session.node_name.as_str());
-                log::warn!("frame rejected, connection closed member={from} error={error}");
+                let node_name = session.map_or("", |session| session.node_name.as_str());
+                log::warn!("frame rejected, connection closed member={node_name} error={error}");
                 self.close_connection(clocks, connection);
             }
         }
--- a/crates/control-plane/src/core_member/inspect.rs
+++ b/crates/control-plane/src/core_member/inspect.rs
@@ -45,10 +45,10 @@
     pub(super) fn handle_summary(
         &mut self,
         clocks: Clocks,
-        summary: u64,
+        summary_number: u64,
         result: Result<Box<TableSummary>, StorageError>,
     ) {
-        let Some(OpenQuestion { connection, call }) = self.inspections.close(summary) else {
+        let Some(OpenQuestion { connection, call }) = self.inspections.close(summary_number) else {
             return;
         };
         let answer = match result {
@@ -128,19 +128,19 @@
 
     fn peer_statuses(&self) -> Vec<PeerStatus> {
         let members = self.replica.members();
-        let name = |internal: SocketAddr| {
+        let node_name_at = |internal: SocketAddr| {
             members
                 .iter()
                 .find(|member| member.internal == internal)
                 .map(|member| member.node_name.clone())
         };
         let peers = self.replica.peers().into_iter();
-        let status = |internal| PeerStatus {
+        let peer_status = |internal| PeerStatus {
             internal,
-            node_name: name(internal),
+            node_name: node_name_at(internal),
             connected: self.peers.connection(internal).is_some(),
         };
-        peers.map(status).collect()
+        peers.map(peer_status).collect()
     }
 
     fn work_status(&self, summary: &TableSummary) -> WorkStatus {
--- a/crates/control-plane/src/core_member/inspections.rs
+++ b/crates/control-plane/src/core_member/inspections.rs
@@ -19,26 +19,26 @@
 /// The open questions, by the number of the requested summary.
 #[derive(Debug, Default)]
 pub(super) struct Inspections {
-    open: BTreeMap<u64, OpenQuestion>,
-    next_summary: u64,
+    open_questions: BTreeMap<u64, OpenQuestion>,
+    next_summary_number: u64,
 }
 
 impl Inspections {
     /// Whether the limit of open questions is reached.
     pub(super) fn is_full(&self) -> bool {
-        self.open.len() >= OPEN_QUESTIONS_MAX
+        self.open_questions.len() >= OPEN_QUESTIONS_MAX
     }
 
     /// Adds a question and returns the number of the summary to request for it.
     pub(super) fn open(&mut self, question: OpenQuestion) -> u64 {
-        let summary = self.next_summary;
-        self.next_summary += 1;
-        self.open.insert(summary, question);
-        summary
+        let summary_number = self.next_summary_number;
+        self.next_summary_number += 1;
+        self.open_questions.insert(summary_number, question);
+        summary_number
     }
 
     /// Removes and returns the question that waits for this summary.
-    pub(super) fn close(&mut self, summary: u64) -> Option<OpenQuestion> {
-        self.open.remove(&summary)
+    pub(super) fn close(&mut self, summary_number: u64) -> Option<OpenQuestion> {
+        self.open_questions.remove(&summary_number)
     }
 }
--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -159,7 +159,7 @@
         let authority = &self.authority;
         let lease_ms = instance
             .is_confirmed()
-            .then(|| authority.lease_ms(now_ms))
+            .then(|| authority.lease_duration_ms(now_ms))
             .flatten();
         let in_flight = instance.in_flight();
         let orders = instance.poll_orders(now_ms, lease_ms);
--- a/crates/data-plane/src/agent/heartbeat_interval.rs
+++ b/crates/data-plane/src/agent/heartbeat_interval.rs
@@ -19,12 +19,12 @@
         self.last_activity_ms = Some(now_ms);
     }
 
-    /// Time until the worker is to send its next heartbeat. `idle`: no run is ordered or running.
-    pub(super) fn next_ms(&self, now_ms: u64, idle: bool) -> u64 {
+    /// Time until the worker is to send its next heartbeat. `is_idle`: no run is ordered or running.
+    pub(super) fn next_ms(&self, now_ms: u64, is_idle: bool) -> u64 {
         let is_recent = self
             .last_activity_ms
-            .is_some_and(|at_ms| now_ms < at_ms + RECENT_ORDER_MS);
-        if idle && !is_recent {
+            .is_some_and(|activity_ms| now_ms < activity_ms + RECENT_ORDER_MS);
+        if is_idle && !is_recent {
             IDLE_HEARTBEAT_MS
         } else {
             BUSY_HEARTBEAT_MS
--- a/crates/data-plane/src/agent/run_table/entry.rs
+++ b/crates/data-plane/src/agent/run_table/entry.rs
@@ -171,10 +171,19 @@
         }
         match (&self.stage, self.stop) {
             (Stage::Running, _) => EntryOutcome::Ended,
-            (Stage::Sent { .. }, StopOrder::Sent { seq_no: sent }) if sent < seq_no => {
-                EntryOutcome::NeverStarted
-            }
-            (Stage::Sent { seq_no: sent, .. }, StopOrder::None) if *sent < seq_no => {
+            (
+                Stage::Sent { .. },
+                StopOrder::Sent {
+                    seq_no: sent_seq_no,
+                },
+            ) if sent_seq_no < seq_no => EntryOutcome::NeverStarted,
+            (
+                Stage::Sent {
+                    seq_no: sent_seq_no,
+                    ..
+                },
+                StopOrder::None,
+            ) if *sent_seq_no < seq_no => {
                 self.retry_start();
                 EntryOutcome::Kept
             }
@@ -225,13 +234,13 @@
         false
     }
 
-    /// Decides whether the start goes into the reply. `used`: capacity taken by other runs; `started`: number of starts
-    /// in the reply so far.
+    /// Decides whether the start goes into the reply. `used_capacity`: capacity taken by other runs; `start_count`:
+    /// number of starts in the reply so far.
     pub(super) fn poll_start(
         &mut self,
         context: &ReplyContext,
-        used: &Resources,
-        started: usize,
+        used_capacity: &Resources,
+        start_count: usize,
     ) -> StartDecision {
         let Stage::Waiting {
             order,
@@ -241,8 +250,12 @@
         else {
             return StartDecision::Defer;
         };
-        if context.ready && context.capacity.can_fit(&used.plus(&self.resources)) {
-            if !context.leased || started >= STARTS_PER_REPLY_MAX {
+        if context.ready
+            && context
+                .capacity
+                .can_fit(&used_capacity.plus(&self.resources))
+        {
+            if !context.leased || start_count >= STARTS_PER_REPLY_MAX {
                 return StartDecision::Defer;
             }
             let (order, send_attempts) = (order.clone(), *send_attempts + 1);
--- a/crates/data-plane/src/core_link/attachment.rs
+++ b/crates/data-plane/src/core_link/attachment.rs
@@ -25,7 +25,7 @@
     owed_since_ms: Option<u64>,
     last_frame_ms: u64,
     /// Whether a probe was sent after the last frame.
-    probed: bool,
+    was_probed: bool,
 }
 
 impl Attachment {
@@ -44,7 +44,7 @@
             limits: welcome.limits.clone(),
             owed_since_ms: None,
             last_frame_ms: now_ms,
-            probed: false,
+            was_probed: false,
         }
     }
 
@@ -89,7 +89,7 @@
     pub(super) fn handle_frame(&mut self, now_ms: u64) {
         self.owed_since_ms = None;
         self.last_frame_ms = now_ms;
-        self.probed = false;
+        self.was_probed = false;
     }
 
     /// Records that the head owes a reply, from now on unless it has already owed one for longer.
@@ -99,19 +99,21 @@
 
     /// Whether the head has owed a reply for [`SUSPICION_TIMEOUT_MS`].
     pub(super) fn is_suspected(&self, now_ms: u64) -> bool {
-        self.suspected_at_ms().is_some_and(|at_ms| at_ms <= now_ms)
+        self.suspected_at_ms()
+            .is_some_and(|due_ms| due_ms <= now_ms)
     }
 
     /// Whether the head has owed a reply for [`HEAD_TIMEOUT_MS`].
     pub(super) fn is_timed_out(&self, now_ms: u64) -> bool {
-        self.timed_out_at_ms().is_some_and(|at_ms| at_ms <= now_ms)
+        self.timed_out_at_ms()
+            .is_some_and(|due_ms| due_ms <= now_ms)
     }
 
     /// Returns whether a probe is due, and if so records it as sent.
     pub(super) fn poll_probe(&mut self, now_ms: u64) -> bool {
-        let is_due = self.probe_at_ms().is_some_and(|at_ms| at_ms <= now_ms);
+        let is_due = self.probe_at_ms().is_some_and(|due_ms| due_ms <= now_ms);
         if is_due {
-            self.probed = true;
+            self.was_probed = true;
             self.handle_request_sent(now_ms);
         }
         is_due
@@ -120,7 +122,7 @@
     /// Time at which the head is to be suspected or, with `idle_probing`, probed or detached, whichever comes first. A
     /// suspicion that is already due needs no timer.
     pub(super) fn next_timeout_ms(&self, now_ms: u64, idle_probing: bool) -> Option<u64> {
-        let suspected_at_ms = self.suspected_at_ms().filter(|at_ms| *at_ms > now_ms);
+        let suspected_at_ms = self.suspected_at_ms().filter(|due_ms| *due_ms > now_ms);
         let probe_at_ms = self.probe_at_ms().filter(|_| idle_probing);
         let timed_out_at_ms = self.timed_out_at_ms().filter(|_| idle_probing);
         [probe_at_ms, suspected_at_ms, timed_out_at_ms]
@@ -130,7 +132,7 @@
     }
 
     fn probe_at_ms(&self) -> Option<u64> {
-        (!self.probed).then_some(self.last_frame_ms + IDLE_PROBE_MS)
+        (!self.was_probed).then_some(self.last_frame_ms + IDLE_PROBE_MS)
     }
 
     fn suspected_at_ms(&self) -> Option<u64> {
--- a/crates/data-plane/src/core_link/head_hint.rs
+++ b/crates/data-plane/src/core_link/head_hint.rs
@@ -12,23 +12,23 @@
 /// The head of the highest view named in a welcome.
 #[derive(Debug, Default)]
 pub(super) struct HeadHint {
-    named: Option<NamedHead>,
+    named_head: Option<NamedHead>,
 }
 
 impl HeadHint {
     /// Address of the named head; `None` if no member has named one.
     pub(super) fn address(&self) -> Option<SocketAddr> {
-        self.named.map(|named| named.address)
+        self.named_head.map(|named_head| named_head.address)
     }
 
     /// Stores the head named in a welcome, unless its view is below the known one. Returns the head's address if the
     /// view is new and the welcome does not come from the acting head itself; the head should then be dialled at once.
     pub(super) fn handle_welcome(&mut self, welcome: &Welcome) -> Option<SocketAddr> {
         let address = welcome.head.as_ref()?.internal;
-        let known_view = self.named.map(|named| named.view);
+        let known_view = self.named_head.map(|named_head| named_head.view);
         let is_new_view = known_view.is_none_or(|view| view < welcome.view);
         if known_view.is_none_or(|view| view <= welcome.view) {
-            self.named = Some(NamedHead {
+            self.named_head = Some(NamedHead {
                 view: welcome.view,
                 address,
             });
@@ -38,6 +38,7 @@
 
     /// Forgets the named head if it has this address.
     pub(super) fn forget(&mut self, address: SocketAddr) {
-        self.named.take_if(|named| named.address == address);
+        self.named_head
+            .take_if(|named_head| named_head.address == address);
     }
 }
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -140,15 +140,15 @@
             path: call.path,
             operation,
         }));
-        let margin_ms = self.limits.answer_margin_ms.min(client_timeout_ms / 2);
-        let pending = PendingCall {
+        let answer_margin_ms = self.limits.answer_margin_ms.min(client_timeout_ms / 2);
+        let pending_call = PendingCall {
             frame: Rc::clone(&frame),
             reads_only,
             resent: false,
-            deadline_ms: now_ms + (client_timeout_ms - margin_ms),
+            deadline_ms: now_ms + (client_timeout_ms - answer_margin_ms),
             orphaned_until_ms: None,
         };
-        self.calls.insert(id, pending);
+        self.calls.insert(id, pending_call);
         frame
     }
 
@@ -167,8 +167,8 @@
     /// Handles a new connection to an acting head; all calls in progress are resent to it.
     pub fn handle_attached(&mut self) -> Vec<CallEffect> {
         self.has_head = true;
-        let waiting = self.calls.values_mut();
-        waiting
+        let pending_calls = self.calls.values_mut();
+        pending_calls
             .map(|call| {
                 call.orphaned_until_ms = None;
                 call.resent = true;
@@ -180,18 +180,18 @@
     /// Handles the loss of the acting head; calls wait for a new head for a limited time.
     pub fn handle_detached(&mut self, now_ms: u64) {
         self.has_head = false;
-        let until_ms = now_ms + self.limits.orphan_timeout_ms;
+        let orphaned_until_ms = now_ms + self.limits.orphan_timeout_ms;
         self.calls.values_mut().for_each(|call| {
-            call.orphaned_until_ms.get_or_insert(until_ms);
+            call.orphaned_until_ms.get_or_insert(orphaned_until_ms);
         });
     }
 
     /// Removes the calls that have timed out, and returns their answers.
     pub fn handle_timeout(&mut self, now_ms: u64) -> Vec<CallEffect> {
-        let expired = self
+        let expired_calls = self
             .calls
             .extract_if(.., |_, call| call.timeout_ms() <= now_ms);
-        expired
+        expired_calls
             .map(|(id, call)| CallEffect::Answer(id, call.time_out_answer()))
             .collect()
     }
@@ -210,7 +210,9 @@
 impl PendingCall {
     fn timeout_ms(&self) -> u64 {
         self.orphaned_until_ms
-            .map_or(self.deadline_ms, |until_ms| until_ms.min(self.deadline_ms))
+            .map_or(self.deadline_ms, |orphaned_until_ms| {
+                orphaned_until_ms.min(self.deadline_ms)
+            })
     }
 
     /// Maps the head's outcome to the client's answer. The first attempt of a resent call may have been carried out, so
--- a/crates/data-plane/src/serve/role_process.rs
+++ b/crates/data-plane/src/serve/role_process.rs
@@ -68,8 +68,8 @@
 
     /// Starts the timer task, which begins the search for the head.
     pub(super) fn start(&self) {
-        let node = self.clone();
-        runtime::spawn(async move { node.timer.run(|| node.process_due()).await });
+        let process = self.clone();
+        runtime::spawn(async move { process.timer.run(|| process.process_due()).await });
     }
 
     /// Replaces the seeds by those of reloaded settings.
@@ -83,17 +83,17 @@
         self.state.borrow().link.attached().is_some()
     }
 
-    /// Calls `act` with the role, then sends the frames that are due.
-    pub(super) fn with_role<T>(&self, act: impl FnOnce(&mut R) -> T) -> T {
-        let result = act(&mut self.updated_state().role);
+    /// Calls `operation` with the role, then sends the frames that are due.
+    pub(super) fn with_role<T>(&self, operation: impl FnOnce(&mut R) -> T) -> T {
+        let result = operation(&mut self.updated_state().role);
         self.process_due_and_set_timer();
         result
     }
 
     /// Performs everything that is due and sets the timer.
     fn process_due_and_set_timer(&self) {
-        let next_ms = self.process_due();
-        self.timer.set_if_earlier(next_ms);
+        let next_due_ms = self.process_due();
+        self.timer.set_if_earlier(next_due_ms);
     }
 
     /// Borrows the state after passing the current state of the head to the role.
@@ -123,24 +123,24 @@
         }
         let frames = state.role.poll_frames(now_ms);
         state.send(now_ms, &frames);
-        let link_ms = state.link.next_timeout_ms(now_ms);
-        link_ms
+        let link_due_ms = state.link.next_timeout_ms(now_ms);
+        link_due_ms
             .into_iter()
             .chain(state.role.next_timeout_ms())
             .min()
     }
 
     fn dial(&self, connection: ConnectionId, address: SocketAddr) {
-        let node = self.clone();
+        let process = self.clone();
         runtime::spawn(async move {
-            if let Err(error) = node.run_connection(connection, address).await {
+            if let Err(error) = process.run_connection(connection, address).await {
                 log::debug!("connection to a core member failed: {error} address={address}");
             }
-            let mut state = node.updated_state();
+            let mut state = process.updated_state();
             state.senders.remove(&connection);
             state.link.handle_disconnected(steady_ms(), connection);
             drop(state);
-            node.process_due_and_set_timer();
+            process.process_due_and_set_timer();
         });
     }
 
@@ -150,11 +150,12 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) -> Result<(), NetError> {
-        let opened = framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
-        if !self.greet(connection, opened.sender) {
+        let opened_connection =
+            framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
+        if !self.greet(connection, opened_connection.sender) {
             return Ok(());
         }
-        let mut reader = opened.reader;
+        let mut reader = opened_connection.reader;
         while let Some(frame) = reader.next().await? {
             self.handle_frame(connection, frame);
         }
--- a/crates/data-plane/src/serve/timer.rs
+++ b/crates/data-plane/src/serve/timer.rs
@@ -48,12 +48,12 @@
     async fn sleep(&self) {
         let (sender, receiver) = oneshot::channel();
         *self.restart.borrow_mut() = Some(sender);
-        let sleep_ms = self
+        let sleep_duration_ms = self
             .due_ms
             .get()
             .saturating_sub(steady_ms())
             .min(LONGEST_SLEEP_MS);
-        let sleep = pin!(runtime::sleep(Duration::from_millis(sleep_ms)));
+        let sleep = pin!(runtime::sleep(Duration::from_millis(sleep_duration_ms)));
         if let Either::Left(_) = select(sleep, receiver).await {
             self.restart.borrow_mut().take();
         }
