--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -47,10 +47,10 @@
 fn reply_to_a_report_without_the_instance_grants_no_lease() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
-    let empty = harness.report_now();
-    assert_eq!(empty.instance, None);
+    let report_without_instance = harness.report_now();
+    assert_eq!(report_without_instance.instance, None);
     harness.send_heartbeat();
-    harness.echo(empty.sent_ms);
+    harness.echo(report_without_instance.sent_ms);
     assert_eq!(harness.send_heartbeat().lease_ms, None);
     harness.report_and_echo();
     assert_eq!(harness.send_heartbeat().lease_ms, Some(RUN_LEASE_MS));
--- a/crates/data-plane/tests/common/agent_harness.rs
+++ b/crates/data-plane/tests/common/agent_harness.rs
@@ -90,8 +90,8 @@
         harness
     }
 
-    pub(crate) fn advance(&mut self, ms: u64) -> &mut AgentHarness {
-        self.now_ms += ms;
+    pub(crate) fn advance(&mut self, duration_ms: u64) -> &mut AgentHarness {
+        self.now_ms += duration_ms;
         self
     }
 
@@ -154,11 +154,11 @@
 
     /// Makes the worker start and stop the runs that the reply orders.
     pub(crate) fn carry_out(&mut self, reply: &HeartbeatReply) {
-        let started = reply.start.iter().map(|s| RunId {
+        let started_runs = reply.start.iter().map(|s| RunId {
             task: s.task.parse().expect("a valid task name"),
             attempt: s.attempt,
         });
-        self.running.extend(started);
+        self.running.extend(started_runs);
         for stop in &reply.stop {
             let run = RunId {
                 task: stop.task.parse().expect("a valid task name"),
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,4 +1,4 @@
-//! The link to the core: finding the acting head, staying connected to it, and finding its successor.
+//! The link to the core: finding the acting head, staying connected to it, and finding the next head.
 
 use indigofold_data_plane::core_link::{
     BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, ConnectionId, CoreLink, GREETING_TIMEOUT_MS,
@@ -123,9 +123,9 @@
 fn a_head_named_by_another_member_is_dialled() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
-    let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.connection);
-    link.handle_welcome(NOW_MS, first.connection, &welcome(5, Some(4), false));
+    let first_dial = dialled(&mut link)[0];
+    link.handle_connected(NOW_MS, first_dial.connection);
+    link.handle_welcome(NOW_MS, first_dial.connection, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
         dials.iter().map(|dial| dial.address).collect::<Vec<_>>(),
@@ -172,8 +172,12 @@
         address: failed_address,
     } = dials[0];
     link.handle_disconnected(NOW_MS, failed);
-    let others = dialled(&mut link);
-    assert!(others.iter().all(|dial| dial.address != failed_address));
+    let other_dials = dialled(&mut link);
+    assert!(
+        other_dials
+            .iter()
+            .all(|dial| dial.address != failed_address)
+    );
     let head_host = host(failed_address);
     link.handle_connected(NOW_MS, dials[1].connection);
     link.handle_welcome(
@@ -237,17 +241,17 @@
 fn a_connection_to_a_member_without_a_head_stays_open_for_the_listen_time() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
-    let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.connection);
-    link.handle_welcome(NOW_MS, first.connection, &welcome(5, None, false));
+    let first_dial = dialled(&mut link)[0];
+    link.handle_connected(NOW_MS, first_dial.connection);
+    link.handle_welcome(NOW_MS, first_dial.connection, &welcome(5, None, false));
     link.handle_timeout(NOW_MS + LISTEN_MS - 1);
-    assert!(link.is_in_use(first.connection));
+    assert!(link.is_in_use(first_dial.connection));
     link.handle_welcome(
         NOW_MS + LISTEN_MS - 1,
-        first.connection,
+        first_dial.connection,
         &welcome(6, Some(1), true),
     );
-    assert_eq!(link.attached(), Some(first.connection));
+    assert_eq!(link.attached(), Some(first_dial.connection));
 }
 
 #[test]
@@ -266,7 +270,7 @@
 
 #[test]
 fn a_lost_connection_detaches_and_starts_a_search() {
-    let (mut link, id, lost) = attached();
+    let (mut link, id, lost_address) = attached();
     link.handle_disconnected(NOW_MS, id);
     let actions = link.poll_actions();
     assert_eq!(actions[0], LinkAction::Detached);
@@ -278,7 +282,7 @@
     assert!(
         !dials
             .iter()
-            .any(|a| matches!(a, LinkAction::Dial { address, .. } if *address == lost))
+            .any(|a| matches!(a, LinkAction::Dial { address, .. } if *address == lost_address))
     );
 }
 
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The edge: parsing of requests, calls to the head and its successors, HTTP answers, and readiness.
+//! The edge: parsing of requests, calls to the head and to later heads, HTTP answers, and readiness.
 
 use indigofold_data_plane::edge::{
     Answer, BegunCall, Body, CallEffect, CallLimits, Calls, ClientCallId, HEAD_LOSS_GRACE_MS,
@@ -102,9 +102,9 @@
     #[case] header: Option<&str>,
     #[case] client_timeout_ms: u64,
 ) {
-    let parsed = parse_request(Method::Get, header, b"").expect("the request is valid");
+    let parsed_request = parse_request(Method::Get, header, b"").expect("the request is valid");
     assert_eq!(
-        (parsed.operation, parsed.client_timeout_ms),
+        (parsed_request.operation, parsed_request.client_timeout_ms),
         (ClientOperation::Get, client_timeout_ms)
     );
 }
@@ -112,8 +112,10 @@
 #[test]
 fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
-    let parsed = parse_request(Method::Post, None, body).expect("the job is valid");
-    assert!(matches!(parsed.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
+    let parsed_request = parse_request(Method::Post, None, body).expect("the job is valid");
+    assert!(
+        matches!(parsed_request.operation, ClientOperation::Submit(job) if job.stages[0].count == 4)
+    );
     assert_eq!(
         parse_request(Method::Post, None, b"{")
             .expect_err("an invalid job is rejected")
@@ -126,8 +128,8 @@
             .status,
         405
     );
-    let parsed = parse_request(Method::Delete, None, b"").expect("the request is valid");
-    assert_eq!(parsed.operation, ClientOperation::Cancel);
+    let parsed_request = parse_request(Method::Delete, None, b"").expect("the request is valid");
+    assert_eq!(parsed_request.operation, ClientOperation::Cancel);
 }
 
 #[test]
@@ -174,10 +176,10 @@
 ) {
     let mut calls = calls();
     begin(&mut calls, operation);
-    let end_ms = NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms;
-    assert_eq!(calls.next_timeout_ms(), Some(end_ms));
-    assert!(calls.handle_timeout(end_ms - 1).is_empty());
-    let effects = calls.handle_timeout(end_ms);
+    let deadline_ms = NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms;
+    assert_eq!(calls.next_timeout_ms(), Some(deadline_ms));
+    assert!(calls.handle_timeout(deadline_ms - 1).is_empty());
+    let effects = calls.handle_timeout(deadline_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("the call is answered")).status,
         status
@@ -265,15 +267,19 @@
 #[test]
 fn a_long_unresponsive_head_makes_the_edge_unready() {
     let mut readiness = Readiness::default();
-    let owed_ms = NOW_MS + 300;
-    for now_ms in [NOW_MS, owed_ms, owed_ms + HEAD_LOSS_GRACE_MS - 1] {
-        readiness.handle_head_status(owed_ms.min(now_ms), 5);
+    let owed_since_ms = NOW_MS + 300;
+    for now_ms in [
+        NOW_MS,
+        owed_since_ms,
+        owed_since_ms + HEAD_LOSS_GRACE_MS - 1,
+    ] {
+        readiness.handle_head_status(owed_since_ms.min(now_ms), 5);
         assert!(readiness.is_ready(now_ms));
     }
-    readiness.handle_head_status(owed_ms, 5);
-    assert!(!readiness.is_ready(owed_ms + HEAD_LOSS_GRACE_MS));
-    readiness.handle_head_status(owed_ms + HEAD_LOSS_GRACE_MS + 9, 5);
-    assert!(readiness.is_ready(owed_ms + HEAD_LOSS_GRACE_MS + 9));
+    readiness.handle_head_status(owed_since_ms, 5);
+    assert!(!readiness.is_ready(owed_since_ms + HEAD_LOSS_GRACE_MS));
+    readiness.handle_head_status(owed_since_ms + HEAD_LOSS_GRACE_MS + 9, 5);
+    assert!(readiness.is_ready(owed_since_ms + HEAD_LOSS_GRACE_MS + 9));
 }
 
 #[test]
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -127,29 +127,35 @@
         .collect()
 }
 
-/// Returns `before` with a random part of the differing sectors taken from `after`, between the bytes `from` and
-/// `until`.
-fn torn(random: &mut Pcg64Mcg, before: &[u8], after: &[u8], from: usize, until: usize) -> Vec<u8> {
+/// Returns `before` with a random part of the differing sectors taken from `after`, from the byte `start` up
+/// to the byte `end_limit`.
+fn torn(
+    random: &mut Pcg64Mcg,
+    before: &[u8],
+    after: &[u8],
+    start: usize,
+    end_limit: usize,
+) -> Vec<u8> {
     let chance = random.next_u64() % 101;
     let mut bytes = before.to_vec();
-    let mut at = from;
-    while at < until {
-        let end = (at / SECTOR + 1) * SECTOR;
-        let end = end.min(until);
-        let differs = before.get(at..end) != after.get(at..end);
+    let mut offset = start;
+    while offset < end_limit {
+        let end = (offset / SECTOR + 1) * SECTOR;
+        let end = end.min(end_limit);
+        let differs = before.get(offset..end) != after.get(offset..end);
         if differs && random.next_u64() % 100 < chance {
-            let torn = random.next_u64().is_multiple_of(8);
-            let end = if torn {
-                at + random.next_u64() as usize % (end - at)
+            let is_torn = random.next_u64().is_multiple_of(8);
+            let end = if is_torn {
+                offset + random.next_u64() as usize % (end - offset)
             } else {
                 end
             };
             if bytes.len() < end {
                 bytes.resize(end, 0);
             }
-            bytes[at..end].copy_from_slice(&after[at..end]);
+            bytes[offset..end].copy_from_slice(&after[offset..end]);
         }
-        at = (at / SECTOR + 1) * SECTOR;
+        offset = (offset / SECTOR + 1) * SECTOR;
     }
     bytes
 }
@@ -157,18 +163,24 @@
 /// Returns possible contents of the disk when power is lost between two synced states. `SQLite` first syncs a new
 /// header of the log, then the frames; later it copies the log into the database.
 fn lost_power(random: &mut Pcg64Mcg, before: &Image, after: &Image) -> Image {
-    let new_header = before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
-    let copied = before.database != after.database;
+    let has_new_header = before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
+    let is_database_changed = before.database != after.database;
     let stage = random.next_u64() % 4;
-    if copied && stage == 0 {
-        let until = after.database.len();
-        let database = torn(random, &before.database, &after.database, 0, until);
+    if is_database_changed && stage == 0 {
+        let database_length = after.database.len();
+        let database = torn(
+            random,
+            &before.database,
+            &after.database,
+            0,
+            database_length,
+        );
         return Image {
             database,
             log: after.log.clone(),
         };
     }
-    if new_header && stage == 1 {
+    if has_new_header && stage == 1 {
         let log = torn(random, &before.log, &after.log, 0, LOG_HEADER);
         return Image {
             database: before.database.clone(),
@@ -197,21 +209,21 @@
         "write {seq}: {:?}",
         opened.quarantined
     );
-    let found = opened
+    let found_seq = opened
         .record
         .expect("the database contains the record")
         .viewstamp
         .seq;
-    let expected = match found {
-        found if found == seq => after,
-        found if found + 1 == seq => before,
+    let expected = match found_seq {
+        found_seq if found_seq == seq => after,
+        found_seq if found_seq + 1 == seq => before,
         _ => panic!(
-            "after a power loss within write {seq} the database has the state of write {found}"
+            "after a power loss within write {seq} the database has the state of write {found_seq}"
         ),
     };
     assert!(
         table(&opened.storage) == *expected,
-        "write {seq}: the rows of write {found} are incomplete"
+        "write {seq}: the rows of write {found_seq} are incomplete"
     );
 }
 
@@ -221,37 +233,38 @@
     let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
     storage.apply(&write(1)).expect("the write can be stored");
-    let (mut before, mut rows_before) = (Image::of(dir.path()), table(&storage));
-    let (mut points, mut checkpoints) = (0, 0);
+    let (mut image_before, mut rows_before) = (Image::of(dir.path()), table(&storage));
+    let (mut loss_points, mut checkpoints) = (0, 0);
     for seq in 2..=WRITES {
         storage.apply(&write(seq)).expect("the write can be stored");
-        let (after, rows_after) = (Image::of(dir.path()), table(&storage));
-        let copied = before.database != after.database;
-        checkpoints += u64::from(copied);
+        let (image_after, rows_after) = (Image::of(dir.path()), table(&storage));
+        let is_database_changed = image_before.database != image_after.database;
+        checkpoints += u64::from(is_database_changed);
         // Few writes copy or restart the log, so more power losses are simulated in these.
-        let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
-        let losses = if is_special {
+        let is_special = is_database_changed
+            || image_before.log.get(..LOG_HEADER) != image_after.log.get(..LOG_HEADER);
+        let loss_count = if is_special {
             20 * LOSSES_A_WRITE
         } else {
             LOSSES_A_WRITE
         };
         if is_special || seq % 4 == shard {
-            for _ in 0..losses {
+            for _ in 0..loss_count {
                 check_image(
-                    &lost_power(&mut random, &before, &after),
+                    &lost_power(&mut random, &image_before, &image_after),
                     seq,
                     &rows_before,
                     &rows_after,
                 );
-                points += 1;
+                loss_points += 1;
             }
         }
-        (before, rows_before) = (after, rows_after);
+        (image_before, rows_before) = (image_after, rows_after);
     }
-    println!("{points} power losses, {checkpoints} checkpoints");
+    println!("{loss_points} power losses, {checkpoints} checkpoints");
     assert!(
-        points >= 350 && checkpoints >= 2,
-        "{points} power losses, expected at least 350; {checkpoints} checkpoints, expected at least 2"
+        loss_points >= 350 && checkpoints >= 2,
+        "{loss_points} power losses, expected at least 350; {checkpoints} checkpoints, expected at least 2"
     );
 }
 
--- a/crates/replication/tests/model/chain.rs
+++ b/crates/replication/tests/model/chain.rs
@@ -29,15 +29,18 @@
             return;
         };
         let number = view.number;
-        let follows = member.promised == number && member.leadership.is_none() && view.head != id;
-        let entered = member.rows.view == number;
+        let is_follower =
+            member.promised == number && member.leadership.is_none() && view.head != id;
+        let has_entered_view = member.rows.view == number;
         let head = &state.members[usize::from(view.head)];
         let has_source = head.run_state == RunState::Running && head.rows.view == number;
-        if follows && has_source && (!entered || !view.chain.has(id)) {
+        if is_follower && has_source && (!has_entered_view || !view.chain.has(id)) {
             actions.push(Action::Fetch { member: id, number });
         }
-        let receives_writes =
-            member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
+        let receives_writes = member.leadership.is_none()
+            && view.head != id
+            && has_entered_view
+            && view.chain.has(id);
         let may_store = member.promised == number || self.fault == Fault::WritesAfterPrepare;
         if receives_writes && may_store && member.rows.log.len() < led.log.len() {
             actions.push(Action::Store { member: id, number });
@@ -58,15 +61,15 @@
         if may_write && member.rows.log.len() < self.writes && !member.unsynced {
             actions.push(Action::Write { head: id });
         }
-        let stored = stored_by_all(member);
-        if stored
-            .is_some_and(|stored| !leadership.is_synchronized || stored > state.committed.len())
-        {
+        let stored_count = stored_by_all(member);
+        if stored_count.is_some_and(|stored_count| {
+            !leadership.is_synchronized || stored_count > state.committed.len()
+        }) {
             actions.push(Action::Commit { head: id });
         }
     }
 
-    pub(crate) fn follow(&self, state: &mut State, to: Id, number: u8, established: bool) {
+    pub(crate) fn follow(&self, state: &mut State, receiver: Id, number: u8, established: bool) {
         let Some(led) = state.led.get(&number).cloned() else {
             return;
         };
@@ -74,9 +77,12 @@
         if established {
             view.previous = view.voters;
         }
-        let member = &mut state.members[usize::from(to)];
-        let known = member.view.as_ref().filter(|known| known.number == number);
-        if known.is_none() || member.promised < number {
+        let member = &mut state.members[usize::from(receiver)];
+        let accepted_view = member
+            .view
+            .as_ref()
+            .filter(|accepted_view| accepted_view.number == number);
+        if accepted_view.is_none() || member.promised < number {
             withdraw(member);
             member.promised = number;
             member.view = Some(view.clone());
@@ -86,10 +92,10 @@
         if member.rows.viewstamp() == view.base {
             member.rows.view = number;
         }
-        report_stored(state, to, number);
+        report_stored(state, receiver, number);
     }
 
-    pub(crate) fn fetch(&self, state: &mut State, to: Id, number: u8) {
+    pub(crate) fn fetch(&self, state: &mut State, receiver: Id, number: u8) {
         let Some(led) = state.led.get(&number) else {
             return;
         };
@@ -98,17 +104,17 @@
         if head.unsynced {
             rows.log.pop();
         }
-        state.members[usize::from(to)].rows = rows;
-        report_stored(state, to, number);
+        state.members[usize::from(receiver)].rows = rows;
+        report_stored(state, receiver, number);
     }
 
-    pub(crate) fn store(&self, state: &mut State, to: Id, number: u8) {
+    pub(crate) fn store(&self, state: &mut State, receiver: Id, number: u8) {
         let Some(led) = state.led.get(&number) else {
             return;
         };
-        let rows = &mut state.members[usize::from(to)].rows;
+        let rows = &mut state.members[usize::from(receiver)].rows;
         rows.log = led.log[..rows.log.len() + 1].to_vec();
-        report_stored(state, to, number);
+        report_stored(state, receiver, number);
     }
 
     pub(crate) fn write(&self, state: &mut State, head: Id) {
@@ -130,16 +136,16 @@
     /// Commits the writes that the whole chain has stored.
     pub(crate) fn commit(&self, state: &mut State, head: Id) {
         let member = &mut state.members[usize::from(head)];
-        let Some(stored) = stored_by_all(member) else {
+        let Some(stored_count) = stored_by_all(member) else {
             return;
         };
         let Some(leadership) = &mut member.leadership else {
             return;
         };
         let newly_synchronized = !std::mem::replace(&mut leadership.is_synchronized, true);
-        let committed = member.rows.log[..stored.min(member.rows.log.len())].to_vec();
-        let common = committed.len().min(state.committed.len());
-        if committed[..common] != state.committed[..common] {
+        let committed = member.rows.log[..stored_count.min(member.rows.log.len())].to_vec();
+        let common_length = committed.len().min(state.committed.len());
+        if committed[..common_length] != state.committed[..common_length] {
             state.violation = Some("two heads have committed different writes");
         }
         if committed.len() > state.committed.len() {
@@ -153,19 +159,19 @@
 
 fn stored_by_all(member: &Member) -> Option<usize> {
     let leadership = member.leadership.as_ref()?;
-    let stored: Option<Vec<usize>> = leadership
+    let stored_counts: Option<Vec<usize>> = leadership
         .view
         .chain
         .iter()
         .map(|id| leadership.stored.get(&id).copied())
         .collect();
-    stored?.into_iter().min()
+    stored_counts?.into_iter().min()
 }
 
 /// Reports a member's rows on disk to the head of the view.
-fn report_stored(state: &mut State, from: Id, number: u8) {
-    let rows = &state.members[usize::from(from)].rows;
-    let (view, len) = (rows.view, rows.log.len());
+fn report_stored(state: &mut State, reporter: Id, number: u8) {
+    let rows = &state.members[usize::from(reporter)].rows;
+    let (view, write_count) = (rows.view, rows.log.len());
     let Some(led) = state.led.get(&number) else {
         return;
     };
@@ -174,8 +180,8 @@
         .as_mut()
         .filter(|leadership| leadership.view.number == number && view == number)
     {
-        let stored = leadership.stored.entry(from).or_insert(len);
-        *stored = (*stored).max(len);
+        let stored = leadership.stored.entry(reporter).or_insert(write_count);
+        *stored = (*stored).max(write_count);
     }
 }
 
--- a/crates/replication/tests/model/elections.rs
+++ b/crates/replication/tests/model/elections.rs
@@ -21,24 +21,25 @@
         let Some(campaign) = &member.campaign else {
             return;
         };
-        let others = (0..self.members()).filter(|&id| id != candidate);
-        let responsive =
-            others.filter(|&id| state.members[usize::from(id)].run_state == RunState::Running);
+        let other_members = (0..self.members()).filter(|&id| id != candidate);
+        let responsive_members = other_members
+            .filter(|&id| state.members[usize::from(id)].run_state == RunState::Running);
         match &campaign.proposed {
             None => {
                 let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
-                let new = responsive
+                let new_voters = responsive_members
                     .filter(|&id| electorate.has(id) && !campaign.promises.contains_key(&id));
-                actions.extend(new.map(|voter| Action::PrepareOk { candidate, voter }));
+                actions.extend(new_voters.map(|voter| Action::PrepareOk { candidate, voter }));
                 self.proposals(state, candidate, campaign, actions);
             }
             Some(view) => {
                 let electorate = Members(view.voters.0 | view.previous.0);
-                let new = responsive.filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
-                actions.extend(new.map(|voter| Action::Accept { candidate, voter }));
-                let former = view.previous.majority_in(campaign.accepted);
-                let former = former || self.fault == Fault::NewVotersOnly;
-                if former && view.voters.majority_in(campaign.accepted) {
+                let new_voters = responsive_members
+                    .filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
+                actions.extend(new_voters.map(|voter| Action::Accept { candidate, voter }));
+                let has_former_majority = view.previous.majority_in(campaign.accepted);
+                let has_former_majority = has_former_majority || self.fault == Fault::NewVotersOnly;
+                if has_former_majority && view.voters.majority_in(campaign.accepted) {
                     actions.push(Action::Lead { candidate });
                 }
             }
@@ -53,17 +54,20 @@
         campaign: &Campaign,
         actions: &mut Vec<Action>,
     ) {
-        let known = &campaign.known;
-        let promised = Members::of(&campaign.promises.keys().copied().collect::<Vec<Id>>());
-        if !known.voters.majority_in(promised) || !known.previous.majority_in(promised) {
+        let known_view = &campaign.known;
+        let promised_members = Members::of(&campaign.promises.keys().copied().collect::<Vec<Id>>());
+        if !known_view.voters.majority_in(promised_members)
+            || !known_view.previous.majority_in(promised_members)
+        {
             return;
         }
-        for voters in self.next_voters(state, candidate, known) {
-            let newcomers = Members(voters.0 & !known.voters.0);
-            let possible = Members(voters.0 & (promised.0 | newcomers.0)).with(candidate);
-            let long_enough =
+        for voters in self.next_voters(state, candidate, known_view) {
+            let newcomers = Members(voters.0 & !known_view.voters.0);
+            let possible_members =
+                Members(voters.0 & (promised_members.0 | newcomers.0)).with(candidate);
+            let is_long_enough =
                 |chain: &Members| chain.has(candidate) && chain.count() >= self.chain_min(voters);
-            let chains = possible.subsets().filter(long_enough);
+            let chains = possible_members.subsets().filter(is_long_enough);
             actions.extend(chains.map(|chain| Action::Propose {
                 candidate,
                 voters,
@@ -74,32 +78,36 @@
 
     /// Returns the possible voters of the next view: the current ones and, for the head of an established view, those
     /// with one change.
-    fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
+    fn next_voters(&self, state: &State, candidate: Id, known_view: &View) -> Vec<Members> {
         let member = &state.members[usize::from(candidate)];
-        let leads = member.leadership.as_ref().is_some_and(|leadership| {
+        let is_leading = member.leadership.as_ref().is_some_and(|leadership| {
             leadership.is_synchronized
-                && leadership.view.number == known.number
-                && known.is_established()
+                && leadership.view.number == known_view.number
+                && known_view.is_established()
         });
-        let mut choices = vec![known.voters];
-        if !leads {
+        let mut choices = vec![known_view.voters];
+        if !is_leading {
             return choices;
         }
-        let others: Vec<Id> = known.voters.without(candidate).iter().collect();
-        let has_rows = |id: &Id| state.members[usize::from(*id)].rows.view == known.number;
+        let other_voters: Vec<Id> = known_view.voters.without(candidate).iter().collect();
+        let has_rows = |id: &Id| state.members[usize::from(*id)].rows.view == known_view.number;
         let newcomers = (0..self.members())
-            .filter(|&id| !known.voters.has(id))
+            .filter(|&id| !known_view.voters.has(id))
             .filter(has_rows);
-        for new in newcomers {
-            choices.push(known.voters.with(new));
+        for new_voter in newcomers {
+            choices.push(known_view.voters.with(new_voter));
             choices.extend(
-                others
+                other_voters
                     .iter()
-                    .map(|&old| known.voters.with(new).without(old)),
+                    .map(|&old_voter| known_view.voters.with(new_voter).without(old_voter)),
             );
         }
-        if known.voters.count() > 2 {
-            choices.extend(others.iter().map(|&old| known.voters.without(old)));
+        if known_view.voters.count() > 2 {
+            choices.extend(
+                other_voters
+                    .iter()
+                    .map(|&old_voter| known_view.voters.without(old_voter)),
+            );
         }
         choices
     }
@@ -136,9 +144,10 @@
             return;
         };
         campaign.promises.insert(voter, rows);
-        let known = &campaign.known;
+        let known_view = &campaign.known;
         let is_newer = |view: &View| {
-            view.number > known.number || (view.number == known.number && view.is_established())
+            view.number > known_view.number
+                || (view.number == known_view.number && view.is_established())
         };
         if let Some(view) = view.filter(is_newer) {
             campaign.known = view;
@@ -156,14 +165,14 @@
         let Some(campaign) = &mut member.campaign else {
             return;
         };
-        let newest = campaign
+        let newest_rows = campaign
             .promises
             .values()
             .max_by_key(|rows| rows.viewstamp())
             .cloned()
             .unwrap_or_default();
-        if newest.viewstamp() > member.rows.viewstamp() && self.fault != Fault::OwnRows {
-            member.rows = newest;
+        if newest_rows.viewstamp() > member.rows.viewstamp() && self.fault != Fault::OwnRows {
+            member.rows = newest_rows;
             member.unsynced = false;
             member.leadership = None;
         }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -57,22 +57,22 @@
 /// A restarted member with the outputs that it has returned.
 struct Harness {
     replica: Replica,
-    own: u8,
+    own_index: u8,
     now_ms: u64,
     stores: Vec<u64>,
-    sent: Vec<(SocketAddr, Message)>,
-    others: Vec<Output>,
+    sent_messages: Vec<(SocketAddr, Message)>,
+    other_outputs: Vec<Output>,
 }
 
 impl Harness {
-    /// Starts member `own` with this view and the state of view [`VIEW`] on its disk.
-    fn restarted(own: u8, view: View) -> Harness {
+    /// Starts member `own_index` with this view and the state of view [`VIEW`] on its disk.
+    fn restarted(own_index: u8, view: View) -> Harness {
         let viewstamp = Viewstamp {
             view: ViewNumber(VIEW),
             seq: SEQ,
         };
         let record = MemberRecord {
-            member: member(own),
+            member: member(own_index),
             promised: view.number,
             agreed: true,
             viewstamp,
@@ -85,7 +85,7 @@
             addresses: (0..4).map(address).collect(),
         };
         let settings = Settings {
-            address: address(own),
+            address: address(own_index),
             seeds: (0..3).map(|seed| address(seed).internal).collect(),
             bootstrap: false,
             tolerated_losses: 1,
@@ -94,17 +94,17 @@
         let replica = Replica::new(settings, Some(record), START_MS);
         Harness {
             replica,
-            own,
+            own_index,
             now_ms: START_MS,
             stores: Vec::new(),
-            sent: Vec::new(),
-            others: Vec::new(),
+            sent_messages: Vec::new(),
+            other_outputs: Vec::new(),
         }
     }
 
     /// Like [`Harness::restarted`], at a time long after the start.
-    fn after_start_waits(own: u8, view: View) -> Harness {
-        let mut harness = Harness::restarted(own, view);
+    fn after_start_waits(own_index: u8, view: View) -> Harness {
+        let mut harness = Harness::restarted(own_index, view);
         harness.now_ms = AFTER_START_WAITS_MS;
         harness
     }
@@ -113,8 +113,8 @@
         for output in self.replica.handle(self.now_ms, input) {
             match output {
                 Output::Store { store, .. } => self.stores.push(store),
-                Output::Send { to, envelope } => self.sent.push((to, envelope.message)),
-                other => self.others.push(other),
+                Output::Send { to, envelope } => self.sent_messages.push((to, envelope.message)),
+                other => self.other_outputs.push(other),
             }
         }
     }
@@ -134,10 +134,10 @@
         }
     }
 
-    fn has_sent(&self, to: u8, is_wanted: impl Fn(&Message) -> bool) -> bool {
-        self.sent
+    fn has_sent(&self, to: u8, is_expected: impl Fn(&Message) -> bool) -> bool {
+        self.sent_messages
             .iter()
-            .any(|(address, message)| *address == member(to).internal && is_wanted(message))
+            .any(|(address, message)| *address == member(to).internal && is_expected(message))
     }
 
     /// Advances the time until the member asks for pre-votes; returns the ID of its request.
@@ -145,19 +145,22 @@
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
             self.input(Input::Timer);
-            let requested = self
-                .sent
-                .iter()
-                .rev()
-                .find_map(|(_, message)| match message {
-                    Message::PreVote(PreVote { request_id, .. }) => Some(*request_id),
-                    _ => None,
-                });
-            if let Some(request_id) = requested {
+            let newest_request_id =
+                self.sent_messages
+                    .iter()
+                    .rev()
+                    .find_map(|(_, message)| match message {
+                        Message::PreVote(PreVote { request_id, .. }) => Some(*request_id),
+                        _ => None,
+                    });
+            if let Some(request_id) = newest_request_id {
                 return request_id;
             }
         }
-        panic!("member {} has not campaigned after 200 timers", self.own);
+        panic!(
+            "member {} has not campaigned after 200 timers",
+            self.own_index
+        );
     }
 
     /// Passes in a prepare request of member `from`.
@@ -169,7 +172,7 @@
         self.message(from, prepare);
     }
 
-    /// Passes in a report of member `from` about the state on its disk.
+    /// Passes in a report of member `from` about the viewstamp on its disk.
     fn report_stored(&mut self, from: u8, view: u64, seq: u64) {
         let view = ViewNumber(view);
         let viewstamp = Viewstamp { view, seq };
@@ -470,7 +473,7 @@
     });
     harness.store_all();
     let is_committed = |harness: &Harness| {
-        harness.others.iter().any(|output| {
+        harness.other_outputs.iter().any(|output| {
             matches!(
                 output,
                 Output::Committed {
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -35,7 +35,7 @@
 /// Records that a member has become the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeadGained {
-    pub at_ms: u64,
+    pub gained_ms: u64,
     pub node: usize,
     pub view: ViewNumber,
 }
@@ -165,9 +165,9 @@
     }
 
     pub(crate) fn stop(&mut self, node: usize) {
-        let survives = self.random_below(2) == 0;
+        let store_survives = self.random_below(2) == 0;
         self.log_event(&format!("stop {node}"));
-        self.nodes[node].stop(survives);
+        self.nodes[node].stop(store_survives);
     }
 
     pub(crate) fn wipe(&mut self, node: usize) {
@@ -211,11 +211,14 @@
     pub(crate) fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
         let mut next_submit_ms = self.now_ms + submit_interval_ms;
         while self.now_ms < until_ms {
-            let due = self.events.next_ms().unwrap_or(until_ms);
-            let step = due.min(until_ms).min(next_submit_ms).max(self.now_ms);
-            self.now_ms = step;
+            let next_event_ms = self.events.next_ms().unwrap_or(until_ms);
+            let step_ms = next_event_ms
+                .min(until_ms)
+                .min(next_submit_ms)
+                .max(self.now_ms);
+            self.now_ms = step_ms;
             self.check_one_head();
-            if step == next_submit_ms {
+            if step_ms == next_submit_ms {
                 self.submit_write();
                 next_submit_ms += submit_interval_ms;
             }
@@ -257,7 +260,7 @@
             value: value.clone(),
         };
         self.submitted.insert(write_id, row);
-        let shared = format!("shared-{}", write_id % 5).into_bytes();
+        let shared_key = format!("shared-{}", write_id % 5).into_bytes();
         let deleted_key = format!("gone-{}", write_id % 3).into_bytes();
         let deleted_value = write_id
             .is_multiple_of(2)
@@ -268,7 +271,7 @@
                 value: Some(value),
             },
             RowChange {
-                key: shared,
+                key: shared_key,
                 value: Some(write_id.to_string().into_bytes()),
             },
             RowChange {
@@ -340,9 +343,9 @@
         node.busy = true;
         let is_read = matches!(node.tasks.front(), Some(DiskTask::Read { .. }));
         let duration_ms = if is_read { READ_MS } else { node.disk_ms };
-        let (at_ms, incarnation) = (self.now_ms + duration_ms, node.incarnation);
+        let (completion_ms, incarnation) = (self.now_ms + duration_ms, node.incarnation);
         self.events.schedule(
-            at_ms,
+            completion_ms,
             Event::DiskDone {
                 node: index,
                 incarnation,
@@ -366,21 +369,24 @@
     fn plan_wake(&mut self, index: usize) {
         let node = &self.nodes[index];
         let Some(replica) = &node.replica else { return };
-        let due = replica.next_timer_ms();
-        if due == u64::MAX {
+        let local_due_ms = replica.next_timer_ms();
+        if local_due_ms == u64::MAX {
             return;
         }
-        let (at_ms, incarnation) = (node.true_ms(due).max(self.now_ms + 1), node.incarnation);
+        let (wake_ms, incarnation) = (
+            node.true_ms(local_due_ms).max(self.now_ms + 1),
+            node.incarnation,
+        );
         if self
             .planned_wakes
             .get(&index)
-            .is_some_and(|&planned| planned <= at_ms && planned > self.now_ms)
+            .is_some_and(|&planned_ms| planned_ms <= wake_ms && planned_ms > self.now_ms)
         {
             return;
         }
-        self.planned_wakes.insert(index, at_ms);
+        self.planned_wakes.insert(index, wake_ms);
         self.events.schedule(
-            at_ms,
+            wake_ms,
             Event::Wake {
                 node: index,
                 incarnation,
@@ -422,7 +428,7 @@
             Output::HeadGained { view } => {
                 self.log_event(&format!("head gained by {index}, view {view}"));
                 self.heads_gained.push(HeadGained {
-                    at_ms: self.now_ms,
+                    gained_ms: self.now_ms,
                     node: index,
                     view,
                 });
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -33,9 +33,9 @@
     for seed in 0..20 {
         let mut cluster = started_cluster(seed, machines);
         assert!(
-            cluster.heads_gained[0].at_ms < 1_500,
+            cluster.heads_gained[0].gained_ms < 1_500,
             "the first head was gained at {} ms, expected before 1500 ms",
-            cluster.heads_gained[0].at_ms
+            cluster.heads_gained[0].gained_ms
         );
         cluster.check_converged(&(0..machines).collect::<Vec<_>>());
         assert!(
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -93,8 +93,8 @@
 
     /// Returns the first true time at which the node's clock shows `local_ms` or more.
     pub(crate) fn true_ms(&self, local_ms: u64) -> u64 {
-        let since = local_ms.saturating_sub(self.clock_offset_ms);
-        (since.saturating_mul(1000)).div_ceil(self.clock_rate_permille)
+        let elapsed_local_ms = local_ms.saturating_sub(self.clock_offset_ms);
+        (elapsed_local_ms.saturating_mul(1000)).div_ceil(self.clock_rate_permille)
     }
 
     pub(crate) fn start(
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -43,7 +43,7 @@
     (head(cluster) + 1) % cluster.nodes.len()
 }
 
-fn all(cluster: &Cluster) -> Vec<usize> {
+fn all_nodes(cluster: &Cluster) -> Vec<usize> {
     (0..cluster.nodes.len()).collect()
 }
 
@@ -56,7 +56,7 @@
         assert_write_gap(&mut cluster, seed, 3_000, 2_000);
         cluster.start(head, false);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -66,21 +66,21 @@
 fn the_same_head_resumes_at_once_after_all_were_killed(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, machines);
-        let former = head(&cluster);
-        all(&cluster)
+        let former_head = head(&cluster);
+        all_nodes(&cluster)
             .into_iter()
             .for_each(|node| cluster.stop(node));
         cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
-        all(&cluster)
+        all_nodes(&cluster)
             .into_iter()
             .for_each(|node| cluster.start(node, false));
         assert_write_gap(&mut cluster, seed, 3_000, 250);
         assert_eq!(
             cluster.heads_gained.last().map(|gained| gained.node),
-            Some(former),
+            Some(former_head),
             "seed {seed}"
         );
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -90,20 +90,20 @@
 fn a_superseded_head_is_not_elected(#[values(3, 5)] machines: usize) {
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, machines);
-        let former = head(&cluster);
-        cluster.stop(former);
+        let former_head = head(&cluster);
+        cluster.stop(former_head);
         cluster.run(cluster.now_ms + 2_500, SUBMIT_INTERVAL_MS);
-        let present = head(&cluster);
-        all(&cluster)
+        let new_head = head(&cluster);
+        all_nodes(&cluster)
             .into_iter()
-            .filter(|node| *node != present)
+            .filter(|node| *node != new_head)
             .for_each(|node| cluster.stop(node));
-        all(&cluster)
+        all_nodes(&cluster)
             .into_iter()
-            .filter(|node| *node != present)
+            .filter(|node| *node != new_head)
             .for_each(|node| cluster.start(node, false));
         assert_write_gap(&mut cluster, seed, 3_000, 1_500);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -140,7 +140,7 @@
         assert_write_gap(&mut cluster, seed, 4_000, 1_500);
         cluster.start(member, false);
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -153,7 +153,7 @@
         assert_write_gap(&mut cluster, seed, 4_000, 1_200);
         cluster.nodes[member].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -175,13 +175,13 @@
 fn a_slow_disk_slows_writes_only_briefly(#[case] offset: usize) {
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, 3);
-        let slow = (head(&cluster) + offset) % cluster.nodes.len();
-        cluster.nodes[slow].disk_ms = 250;
+        let slow_node = (head(&cluster) + offset) % cluster.nodes.len();
+        cluster.nodes[slow_node].disk_ms = 250;
         assert_write_gap(&mut cluster, seed, 1_200, 800);
         assert_write_gap(&mut cluster, seed, 700, 200);
-        cluster.nodes[slow].disk_ms = 9;
+        cluster.nodes[slow_node].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -222,7 +222,7 @@
         cluster.freeze(head, 4_000);
         assert_write_gap(&mut cluster, seed, 3_500, 2_200);
         assert_write_gap(&mut cluster, seed, 4_000, 300);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -245,7 +245,7 @@
             );
             cluster.unblock_all();
             cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
-            cluster.check_converged(&all(&cluster));
+            cluster.check_converged(&all_nodes(&cluster));
         }
     }
 }
@@ -273,7 +273,7 @@
         assert_write_gap(&mut cluster, seed, 4_000, 2_200);
         cluster.unblock_all();
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -281,7 +281,7 @@
 fn the_cluster_recovers_after_all_members_lose_power(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, machines);
-        let members = all(&cluster);
+        let members = all_nodes(&cluster);
         members.iter().for_each(|&member| cluster.stop(member));
         cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
         members
@@ -299,20 +299,20 @@
 ) {
     for seed in 0..2 * SEEDS {
         let mut cluster = started_cluster(seed, machines);
-        let wiped = seed as usize % machines;
-        cluster.wipe(wiped);
-        let others: Vec<usize> = all(&cluster)
+        let wiped_node = seed as usize % machines;
+        cluster.wipe(wiped_node);
+        let other_nodes: Vec<usize> = all_nodes(&cluster)
             .into_iter()
-            .filter(|&other| other != wiped)
+            .filter(|&other| other != wiped_node)
             .collect();
-        others.iter().for_each(|&other| cluster.stop(other));
+        other_nodes.iter().for_each(|&other| cluster.stop(other));
         cluster.run(cluster.now_ms + 300, SUBMIT_INTERVAL_MS);
-        all(&cluster)
+        all_nodes(&cluster)
             .into_iter()
             .for_each(|member| cluster.start(member, false));
         assert_write_gap(&mut cluster, seed, 3_500, 2_500);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
-        cluster.check_converged(&all(&cluster));
+        cluster.check_converged(&all_nodes(&cluster));
     }
 }
 
@@ -324,11 +324,11 @@
         let mut cluster = Cluster::new(seed, 6, 3);
         (0..3).for_each(|member| cluster.start(member, true));
         cluster.run(4_000, SUBMIT_INTERVAL_MS);
-        for (old, new) in [(0, 3), (1, 4), (2, 5)] {
-            cluster.stop(old);
+        for (old_node, new_node) in [(0, 3), (1, 4), (2, 5)] {
+            cluster.stop(old_node);
             cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
-            cluster.seeds = (old + 1..new).collect();
-            cluster.start(new, false);
+            cluster.seeds = (old_node + 1..new_node).collect();
+            cluster.start(new_node, false);
             cluster.run(cluster.now_ms + 8_000, SUBMIT_INTERVAL_MS);
         }
         cluster.check_converged(&[3, 4, 5]);
@@ -352,28 +352,30 @@
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
-        let others: Vec<usize> = (0..3).filter(|&other| other != head).collect();
-        others
+        let other_nodes: Vec<usize> = (0..3).filter(|&other| other != head).collect();
+        other_nodes
             .iter()
             .for_each(|&other| cluster.block_both(other, head));
-        others.iter().for_each(|&other| cluster.stop(other));
-        others.iter().for_each(|&other| cluster.start(other, false));
+        other_nodes.iter().for_each(|&other| cluster.stop(other));
+        other_nodes
+            .iter()
+            .for_each(|&other| cluster.start(other, false));
         assert_write_gap(&mut cluster, seed, 3_000, 2_200);
         assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
 
-/// Runs the cluster until the head leads an agreed view later than `former`, for at most 3 s.
-fn run_until_next_view(cluster: &mut Cluster, head: usize, former: ViewNumber) {
-    let agreed = |cluster: &Cluster| {
+/// Runs the cluster until the head leads an agreed view later than `former_view`, for at most 3 s.
+fn run_until_next_view(cluster: &mut Cluster, head: usize, former_view: ViewNumber) {
+    let has_next_view = |cluster: &Cluster| {
         let view = cluster.nodes[head]
             .replica
             .as_ref()
             .and_then(|replica| replica.accepted_view());
-        view.is_some_and(|(view, agreed)| agreed && view.number > former)
+        view.is_some_and(|(view, agreed)| agreed && view.number > former_view)
     };
     let until_ms = cluster.now_ms + 3_000;
-    while !agreed(cluster) && cluster.now_ms < until_ms {
+    while !has_next_view(cluster) && cluster.now_ms < until_ms {
         cluster.run(cluster.now_ms + 1, SUBMIT_INTERVAL_MS);
     }
 }
@@ -385,18 +387,18 @@
     for seed in 0..SEEDS {
         let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
-        let (lost, third) = ((head + 1) % 3, (head + 2) % 3);
-        let former = cluster.nodes[head]
+        let (lost_node, third_node) = ((head + 1) % 3, (head + 2) % 3);
+        let former_view = cluster.nodes[head]
             .replica
             .as_ref()
             .map_or(ViewNumber::NONE, Replica::view);
-        [head, lost]
+        [head, lost_node]
             .into_iter()
-            .for_each(|other| cluster.block_both(other, third));
+            .for_each(|other| cluster.block_both(other, third_node));
         cluster.stop(head);
         cluster.start(head, false);
-        run_until_next_view(&mut cluster, head, former);
-        cluster.wipe(lost);
+        run_until_next_view(&mut cluster, head, former_view);
+        cluster.wipe(lost_node);
         cluster.unblock_all();
         let gap_ms = longest_gap_ms(&mut cluster, 10_000);
         assert!(
