--- a/crates/control-plane/src/core_member/head_role.rs
+++ b/crates/control-plane/src/core_member/head_role.rs
@@ -1,5 +1,5 @@
-//! The member's role: follower, head that is loading its rows, or leading head. Also tracks the writes that earlier terms as
-//! head left without a result.
+//! The member's role: follower, head that is loading its rows, or leading head. Also tracks the writes of earlier terms as
+//! head that have no result yet.
 
 use crate::acting_head::{ActingHead, HeadError, HeadOutput};
 use crate::clocks::Clocks;
@@ -52,7 +52,7 @@
 
     /// Whether this member is the head of `view` and its rows are not loaded yet.
     pub(super) fn is_loading(&self, view: ViewNumber) -> bool {
-        matches!(self.state, HeadState::Loading { view: loading, .. } if loading == view)
+        matches!(self.state, HeadState::Loading { view: loading_view, .. } if loading_view == view)
     }
 
     /// Returns the head if this member is the head and its rows are loaded.
@@ -86,8 +86,11 @@
 
     /// Changes the view whose rows are being loaded: this member is the head of the new view too.
     pub(super) fn renew(&mut self, view: ViewNumber) {
-        if let HeadState::Loading { view: loading, .. } = &mut self.state {
-            *loading = view;
+        if let HeadState::Loading {
+            view: loading_view, ..
+        } = &mut self.state
+        {
+            *loading_view = view;
         }
     }
 
@@ -121,10 +124,10 @@
     /// Schedules another request after [`LOAD_RETRY_MS`], as the rows of `view` could not be loaded.
     pub(super) fn load_failed(&mut self, view: ViewNumber, now_ms: u64) {
         if let HeadState::Loading {
-            view: loading,
+            view: loading_view,
             request_due_ms,
         } = &mut self.state
-            && *loading == view
+            && *loading_view == view
         {
             *request_due_ms = now_ms + LOAD_RETRY_MS;
         }
@@ -151,13 +154,13 @@
 
     /// Becomes a follower; returns whether this member was the leading head. The head's writes without a result become pending.
     pub(super) fn resign(&mut self, outputs: &mut Vec<HeadOutput>) -> bool {
-        let former = std::mem::replace(&mut self.state, HeadState::Follower);
-        let HeadState::Leading(head) = former else {
+        let former_state = std::mem::replace(&mut self.state, HeadState::Follower);
+        let HeadState::Leading(head) = former_state else {
             return false;
         };
-        let uncommitted = head.end(outputs);
-        self.next_write_id = uncommitted.next_write_id;
-        self.pending_writes.extend(uncommitted.write_ids);
+        let uncommitted_writes = head.end(outputs);
+        self.next_write_id = uncommitted_writes.next_write_id;
+        self.pending_writes.extend(uncommitted_writes.write_ids);
         true
     }
 
--- a/crates/control-plane/src/driver/connections.rs
+++ b/crates/control-plane/src/driver/connections.rs
@@ -68,8 +68,8 @@
         let connections = self.clone();
         runtime::spawn(async move {
             match framed::connect(address, DIAL_TIMEOUT).await {
-                Ok(connection) => {
-                    let (id, reader) = connections.add(connection);
+                Ok(opened_connection) => {
+                    let (id, reader) = connections.add(opened_connection);
                     connections.push_input(Input::Dialled {
                         address,
                         connection: id,
@@ -88,8 +88,8 @@
     async fn accept(self, listener: FrameListener) {
         loop {
             match listener.accept().await {
-                Ok(connection) => {
-                    let (id, reader) = self.add(connection);
+                Ok(opened_connection) => {
+                    let (id, reader) = self.add(opened_connection);
                     let connections = self.clone();
                     runtime::spawn(async move { connections.read(id, reader).await });
                 }
@@ -118,10 +118,12 @@
     }
 
     /// Assigns an ID to a new connection and stores its sending half.
-    fn add(&self, connection: Connection) -> (ConnectionId, FrameReader) {
+    fn add(&self, opened_connection: Connection) -> (ConnectionId, FrameReader) {
         let id = ConnectionId(self.next_id.replace(self.next_id.get() + 1));
-        self.senders.borrow_mut().insert(id, connection.sender);
-        (id, connection.reader)
+        self.senders
+            .borrow_mut()
+            .insert(id, opened_connection.sender);
+        (id, opened_connection.reader)
     }
 
     fn push_input(&self, input: Input) {
--- a/crates/control-plane/src/storage_thread.rs
+++ b/crates/control-plane/src/storage_thread.rs
@@ -140,13 +140,13 @@
 pub fn start(
     storage: Storage,
 ) -> Result<(Sender<StorageRequest>, UnboundedReceiver<StorageResponse>), StartError> {
-    let (requests, incoming) = channel();
-    let (outgoing, responses) = unbounded();
+    let (requests, request_receiver) = channel();
+    let (response_sender, responses) = unbounded();
     let builder = thread::Builder::new()
         .name("storage".to_owned())
         .stack_size(STACK_BYTES);
     builder
-        .spawn(move || serve(storage, incoming, outgoing))
+        .spawn(move || serve(storage, request_receiver, response_sender))
         .context(StartSnafu)?;
     Ok((requests, responses))
 }
--- a/crates/data-plane/src/agent/connection_updates.rs
+++ b/crates/data-plane/src/agent/connection_updates.rs
@@ -59,8 +59,8 @@
 
     /// Returns the items not yet reported on the current connection, oldest first, and marks them as reported.
     pub(super) fn take_pending(&mut self) -> Vec<T> {
-        let pending = self.items.iter_mut().filter(|item| !item.reported);
-        pending
+        let pending_items = self.items.iter_mut().filter(|item| !item.reported);
+        pending_items
             .map(|item| {
                 item.reported = true;
                 item.value.clone()
--- a/crates/data-plane/src/agent/former_instances.rs
+++ b/crates/data-plane/src/agent/former_instances.rs
@@ -11,13 +11,13 @@
 #[derive(Debug)]
 pub(super) struct FormerInstances {
     /// Time at which the leases that a previous agent process may have granted have expired.
-    unknown_expires_ms: u64,
+    unregistered_expires_ms: u64,
     /// Instances that were replaced or deregistered; late heartbeats from them are not read.
-    closed: Vec<String>,
+    closed_instances: Vec<String>,
     /// Instances without running runs, to be reported as ended. One that returns is removed.
-    ended: ConnectionUpdates<String>,
+    ended_instances: ConnectionUpdates<String>,
     /// The instance that the head last addressed although it has sent no heartbeat to this process.
-    unknown: Option<String>,
+    unregistered_instance: Option<String>,
 }
 
 impl FormerInstances {
@@ -25,46 +25,48 @@
     /// `started_ms`.
     pub(super) fn new(started_ms: u64) -> Self {
         FormerInstances {
-            unknown_expires_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
-            closed: Vec::new(),
-            ended: ConnectionUpdates::new(ENDED_INSTANCES_MAX),
-            unknown: None,
+            unregistered_expires_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
+            closed_instances: Vec::new(),
+            ended_instances: ConnectionUpdates::new(ENDED_INSTANCES_MAX),
+            unregistered_instance: None,
         }
     }
 
     /// Whether this instance was replaced or deregistered.
     pub(super) fn is_closed(&self, id: &str) -> bool {
-        self.closed.iter().any(|closed| closed == id)
+        self.closed_instances.iter().any(|instance| instance == id)
     }
 
     /// Whether this instance is reported as ended.
     pub(super) fn is_ended(&self, id: &String) -> bool {
-        self.ended.contains(id)
+        self.ended_instances.contains(id)
     }
 
     /// Records that an instance was replaced or deregistered and that none of its runs is running.
     pub(super) fn close(&mut self, id: String) {
-        self.unknown.take_if(|unknown| *unknown == id);
-        self.closed.push(id.clone());
-        if self.closed.len() > ENDED_INSTANCES_MAX {
-            self.closed.remove(0);
+        self.unregistered_instance
+            .take_if(|instance| *instance == id);
+        self.closed_instances.push(id.clone());
+        if self.closed_instances.len() > ENDED_INSTANCES_MAX {
+            self.closed_instances.remove(0);
         }
-        self.ended.push(id);
+        self.ended_instances.push(id);
     }
 
     /// Records that all leases of an instance have expired; the instance may still return.
     pub(super) fn expire(&mut self, id: String) {
-        self.ended.push(id);
+        self.ended_instances.push(id);
     }
 
     /// Handles an instance that sent its first heartbeat, or its first one after its leases expired.
     pub(super) fn handle_registered(&mut self, id: &String) {
-        self.ended.remove(id);
-        self.unknown.take_if(|unknown| unknown == id);
+        self.ended_instances.remove(id);
+        self.unregistered_instance
+            .take_if(|instance| instance == id);
     }
 
-    /// Handles orders of the head for an instance other than the current one. `has_current`: there is a current
-    /// instance, so the other one has ended. Returns whether there is something to report.
+    /// Handles orders of the head for an instance other than the current one. `has_current`: another instance is
+    /// current, so the instance in the orders has ended. Returns whether there is something to report.
     pub(super) fn handle_unknown(&mut self, id: String, has_current: bool) -> bool {
         if id.is_empty() || self.is_closed(&id) || self.is_ended(&id) {
             return false;
@@ -72,35 +74,38 @@
         if has_current {
             self.close(id);
         } else {
-            self.unknown = Some(id);
+            self.unregistered_instance = Some(id);
         }
         has_current
     }
 
-    /// Marks the unknown instance as ended once its leases have expired. Returns whether there is something to report.
+    /// Marks the unregistered instance as ended once its leases have expired. Returns whether there is something to
+    /// report.
     pub(super) fn expire_unknown(&mut self, now_ms: u64) -> bool {
-        if now_ms < self.unknown_expires_ms {
+        if now_ms < self.unregistered_expires_ms {
             return false;
         }
-        let Some(id) = self.unknown.take() else {
+        let Some(id) = self.unregistered_instance.take() else {
             return false;
         };
-        self.ended.push(id);
+        self.ended_instances.push(id);
         true
     }
 
-    /// Time at which to call [`FormerInstances::expire_unknown`] next; `None` without an unknown instance.
+    /// Time at which to call [`FormerInstances::expire_unknown`] next; `None` without such an instance.
     pub(super) fn next_timeout_ms(&self) -> Option<u64> {
-        self.unknown.as_ref().map(|_| self.unknown_expires_ms)
+        self.unregistered_instance
+            .as_ref()
+            .map(|_| self.unregistered_expires_ms)
     }
 
     /// The list of ended instances to report.
     pub(super) fn ended_updates(&mut self) -> &mut ConnectionUpdates<String> {
-        &mut self.ended
+        &mut self.ended_instances
     }
 
     /// Whether an ended instance has not been reported on the current connection.
     pub(super) fn is_report_pending(&self) -> bool {
-        self.ended.is_pending()
+        self.ended_instances.is_pending()
     }
 }
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -9,7 +9,7 @@
 pub struct Readiness {
     /// Latest time at which a head with a configuration was responsive; `None` if there was none.
     last_responsive_ms: Option<u64>,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 impl Readiness {
@@ -23,14 +23,14 @@
 
     /// Makes the edge unready for good, because the process is about to end.
     pub fn stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     /// Whether the platform may route new clients to this edge.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        !self.stopping
+        !self.is_stopping
             && self
                 .last_responsive_ms
-                .is_some_and(|last_ms| now_ms < last_ms + HEAD_LOSS_GRACE_MS)
+                .is_some_and(|responsive_ms| now_ms < responsive_ms + HEAD_LOSS_GRACE_MS)
     }
 }
