--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,5 +1,5 @@
-//! A chain member that is not the head: it stores writes in order, relays them to its successor and reports to the
-//! head.
+//! A chain member that is not the head: it stores writes in order, relays them to its successor in the chain
+//! and reports to the head.
 //!
 //! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole
 //! chain has them on disk. Unlike there, each member reports to the head, which answers the clients. This module keeps
@@ -22,27 +22,27 @@
         return;
     }
     let viewstamp = context.record.viewstamp;
-    let next = viewstamp.seq + 1;
-    if batches.first().is_some_and(|batch| batch.seq > next) {
+    let next_seq = viewstamp.seq + 1;
+    if batches.first().is_some_and(|batch| batch.seq > next_seq) {
         return context.send_to_head(Message::WriteGap { viewstamp });
     }
-    let new = batches.into_iter().filter(|batch| batch.seq >= next);
-    let new: Vec<Arc<Batch>> = new.collect();
-    let Some(last) = new.last() else {
+    let new_batches = batches.into_iter().filter(|batch| batch.seq >= next_seq);
+    let new_batches: Vec<Arc<Batch>> = new_batches.collect();
+    let Some(last_batch) = new_batches.last() else {
         return report_stored(context);
     };
-    context.record.viewstamp.seq = last.seq;
-    for batch in &new {
+    context.record.viewstamp.seq = last_batch.seq;
+    for batch in &new_batches {
         let write = StoreOperation::Write(Arc::clone(batch));
         context.stores.add_operation(write);
     }
     context.stores.request_store();
     if relay {
-        relay_batches(context, number, new);
+        relay_batches(context, number, new_batches);
     }
 }
 
-/// Reports the state on this member's disk to the head, if this member is in the chain of an agreed view and has taken
+/// Reports the viewstamp on this member's disk to the head, if this member is in the chain of an agreed view and has taken
 /// over its first state.
 pub(super) fn report_stored(context: &mut Context) {
     let viewstamp = context.stores.stored_viewstamp();
