--- a/crates/replay/src/sockets.rs
+++ b/crates/replay/src/sockets.rs
@@ -1,9 +1,9 @@
-//! Replays on sockets: the real program as child processes under its limits, with stand-in clients, workers and discovery
+//! Replays on sockets: runs the real program as child processes under its limits, with simulated clients, workers and discovery
 //! that speak the platform's protocol on loopback.
 //!
-//! Load is open loop: a late answer never delays the next arrival, latencies count from the intended send, and how late the
-//! generator itself was is reported. Each observation gets a time from one clock; the rules are checked afterwards, by the
-//! same checkers as in virtual time.
+//! The load is open loop: a late response never delays the next arrival, latencies count from the intended send time, and the
+//! lateness of the load generator itself is reported. All observations get their times from one clock; the rules are checked
+//! after the run, by the same checkers as in virtual time.
 
 mod clients;
 mod discovery;
@@ -26,24 +26,24 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Threads of the stand-ins.
+/// Number of threads that run the simulated clients, workers and discovery.
 const THREADS: usize = 2;
-/// Schedulers must be ready within this time.
+/// A scheduler that is not ready within this time fails the replay.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What all stand-ins share.
+/// State that the simulated clients, workers and discovery share.
 struct Environment {
     scenario: Scenario,
     seed: u64,
     retries: Retries,
     tasks: Arc<Executor<'static>>,
     began: Instant,
-    /// Unix time in microseconds at `began`.
+    /// Unix time at `began`, in microseconds.
     began_unix: Micros,
     observations: Mutex<Vec<(Micros, Observation)>>,
     service: Mutex<Service>,
     membership: Mutex<Membership>,
-    /// What clients have sent, by the number in the trace id.
+    /// Jobs that clients have sent, by the number in the trace id.
     sent_jobs: Mutex<HashMap<u64, workers::SentJob>>,
 }
 
@@ -68,37 +68,37 @@
         }
     }
 
-    /// The scenario's time.
+    /// The current time on the scenario's clock.
     fn now(&self) -> Micros {
         self.scenario.from() + self.began.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a time of the scenario.
+    /// Converts a scenario time to an instant.
     fn instant(&self, at: Micros) -> Instant {
         self.began + Duration::from_micros(at.saturating_sub(self.scenario.from()))
     }
 
-    /// A time of the scenario as Unix time in milliseconds, for the program.
+    /// Converts a scenario time to Unix time in milliseconds, as the program expects it.
     fn unix_ms(&self, at: Micros) -> u64 {
         (self.began_unix + at.saturating_sub(self.scenario.from())) / 1000
     }
 
-    /// Records an observation of now.
+    /// Records an observation at the current time.
     fn observe(&self, observation: Observation) {
         self.observe_at(self.now(), observation);
     }
 
-    /// Records an observation of a time.
+    /// Records an observation at a given time.
     fn observe_at(&self, at: Micros, observation: Observation) {
         locked(&self.observations).push((at, observation));
     }
 
-    /// Starts a task.
+    /// Spawns a detached task on the shared executor.
     fn start(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.spawn(task).detach();
     }
 
-    /// The results of a run that has ended.
+    /// Checks the recorded observations, and returns the result of a run that has ended.
     fn run(&self) -> Run {
         let mut observations = std::mem::take(&mut *locked(&self.observations));
         observations.sort_by_key(|(at, _)| *at);
@@ -118,10 +118,11 @@
     }
 }
 
-/// Plays arrivals on sockets.
+/// Plays arrivals against the real program on sockets.
 ///
 /// # Errors
-/// The program does not start, a stand-in cannot listen, or the scenario has a part that only virtual time plays.
+/// The program does not start or ends early, a simulated peer cannot listen, an arrival cannot be read, or the scenario has a
+/// part that can only be played in virtual time.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -173,7 +174,7 @@
     for scheduler in &schedulers {
         scheduler.ready(READY_TIMEOUT).await?;
     }
-    // The scenario begins once all are ready: arrivals and faults are shifted by the time until now.
+    // The scenario begins once all schedulers are ready: arrivals and faults are shifted by the start-up time.
     let shift = environment.now() - environment.scenario.from();
     for (n, _) in environment.scenario.faults.iter().enumerate() {
         environment.start(faults::play(environment.clone(), fleet.clone(), n, shift));
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets: each arrival is sent at its time, whatever became of those before.
+//! Clients on sockets: each arrival is sent at its time, independent of the outcome of earlier ones.
 
 use super::http::HttpConnection;
 use super::workers::SentJob;
@@ -19,21 +19,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// After the last arrival, open jobs have this long beyond their deadline.
+/// After the last arrival, the replay waits for open jobs until the longest deadline plus this margin.
 const FINAL_MARGIN: Duration = Duration::from_millis(500);
-/// Between two checks of whether all jobs have ended.
+/// Interval between two checks whether all jobs have ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What all clients share.
+/// State that all clients share.
 struct Clients {
     environment: Arc<Environment>,
-    /// Of the schedulers.
+    /// Addresses of the schedulers.
     addresses: Vec<SocketAddr>,
     /// Idle connections to each scheduler.
     idle: Vec<Mutex<Vec<HttpConnection>>>,
     open_jobs: AtomicUsize,
     next_job: AtomicU64,
-    /// Requests sent so far, by zone: schedulers take turns.
+    /// Number of requests sent so far by zone, for round-robin over the schedulers of the zone.
     zone_turns: Mutex<Vec<u32>>,
 }
 
@@ -41,15 +41,15 @@
 struct ClientRequest<'a> {
     arrival: &'a Arrival,
     job: u64,
-    /// 0 for the first try.
+    /// Number of the retry; 0 for the first try.
     retry: u32,
     scheduler: u32,
     deadline_at: Micros,
-    /// The scheduler has the request, and owes a response.
+    /// Whether the request has been written to the scheduler, which must then answer it.
     accepted: AtomicBool,
 }
 
-/// Sends all arrivals, and waits until their jobs have ended. `shift` is added to each arrival's time.
+/// Sends all arrivals, and waits until their jobs have ended. `shift`, in microseconds, is added to the time of each arrival.
 pub(crate) async fn send(
     environment: &Arc<Environment>,
     arrivals: impl Iterator<Item = Result<Arrival, ReplayError>>,
@@ -75,7 +75,7 @@
 }
 
 impl Clients {
-    /// Starts the task of a job that is due now.
+    /// Spawns the task of a job that is due now.
     fn start_job(self: Arc<Self>, arrival: Arrival) {
         let environment = self.environment.clone();
         let beyond_quota = {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A job over its first try and all its retries.
+    /// Sends the first try and all retries of a job, and returns how the job ended.
     async fn run_job(&self, arrival: &Arrival) -> JobEnd {
         let environment = &self.environment;
         let deadline_at = arrival.at + arrival.deadline;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Sends one request; `None`: the client's deadline has passed before the response.
+    /// Sends one request and awaits its response; `None`: the client's deadline passed first.
     async fn send_request(
         &self,
         arrival: &Arrival,
@@ -175,7 +175,7 @@
                 environment.observe(response.observation(job, at));
                 Some(response)
             }
-            // A job that the scheduler had accepted is lost: the checkers find it without an answer.
+            // If the scheduler had accepted the job, it is lost: the checkers then report a job without an answer.
             Some(Err(_)) => Some(ClientResponse::Failed),
             None => {
                 if request.accepted.load(Ordering::SeqCst) {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The scheduler that the next request of a job goes to.
+    /// The scheduler that receives the job's next request, in round-robin order within its zone.
     fn next_scheduler_of(&self, arrival: &Arrival) -> u32 {
         let scenario = &self.environment.scenario;
         let zone = scenario.home(arrival.parish, arrival.number);
@@ -213,7 +213,7 @@
             Err(e) => Err(e),
         };
         if reused && answer.is_err() {
-            // A scheduler may close a connection between two requests: the client sends once more, on a new one.
+            // A scheduler may close an idle connection between two requests: the client sends the request again on a new one.
             connection = self.connect(scheduler).await?;
             connection.write(bytes.as_bytes()).await?;
             self.record_acceptance(request);
@@ -249,7 +249,7 @@
         });
     }
 
-    /// A request in the form of the platform's protocol.
+    /// Encodes a request as the HTTP message of the platform's protocol.
     fn encode(&self, request: &ClientRequest<'_>) -> String {
         let (arrival, scenario) = (request.arrival, &self.environment.scenario);
         let class = &scenario.classes[arrival.class as usize];
--- a/crates/replay/src/sockets/discovery.rs
+++ b/crates/replay/src/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on sockets: the whole membership, and a watch of its changes.
+//! Simulated service discovery on sockets: serves the full membership, and long-poll watches of its changes.
 
 use super::http::HttpConnection;
 use super::{Environment, locked};
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a watch looks for changes.
+/// Interval at which a watch looks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The longest wait of a watch, in milliseconds.
+/// Maximum time that a watch waits for a change, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// Health of a worker, as the platform's discovery names it.
+/// Health of a worker as the platform's discovery reports it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// It takes work.
+    /// The worker accepts jobs.
     Ready,
-    /// It drains.
+    /// The worker drains.
     Terminating,
-    /// Its process has ended.
+    /// The process has ended.
     Ended,
 }
 
@@ -42,35 +42,35 @@
     kind: String,
     zone: String,
     health: Health,
-    /// Unix time of its process's start in milliseconds; 0: long ago.
+    /// Unix time at which the process started, in milliseconds; 0: before the replay.
     started_ms: u64,
-    /// The membership's version of its last change.
+    /// The version of the membership at the last change of this host.
     version: u64,
-    /// By scheduler.
+    /// Addresses of the worker, one for each scheduler.
     addresses: Vec<SocketAddr>,
 }
 
-/// The membership of workers.
+/// All workers, with a version that increases with each change.
 pub(crate) struct Membership {
     version: u64,
     hosts: Vec<Host>,
 }
 
-/// What a scheduler receives of the membership.
+/// A response to a scheduler: the full membership or the changes since a version.
 pub(crate) struct MembershipUpdate {
-    /// In the form of the platform's protocol.
+    /// The JSON body in the form of the platform's protocol.
     pub body: Value,
-    /// The workers in it, and whether each takes work.
+    /// The workers in the body, each with whether it accepts jobs.
     pub availability: Vec<(u32, bool)>,
 }
 
-/// A worker's name.
+/// The host name of a worker in the platform's protocol.
 pub(crate) fn name(worker: u32) -> String {
     format!("s-{:08x}", crate::worker::id(worker))
 }
 
 impl Membership {
-    /// All workers, ready since long before.
+    /// Creates a membership in which all workers have been ready since before the replay.
     pub(crate) fn new(scenario: &Scenario) -> Self {
         let host = |w: u32| Host {
             kind: scenario.kinds[scenario.kind_of(w)].name.clone(),
@@ -86,19 +86,20 @@
         }
     }
 
-    /// Sets where the schedulers reach a worker.
+    /// Sets the addresses at which the schedulers reach a worker, one for each scheduler.
     pub(crate) fn set_addresses(&mut self, worker: u32, addresses: Vec<SocketAddr>) {
         self.hosts[worker as usize].addresses = addresses;
     }
 
-    /// Discovery learns of a change.
+    /// Records a change of a worker, under a new version.
     pub(crate) fn change(&mut self, worker: u32, health: Health, started_ms: u64) {
         self.version += 1;
         let host = &mut self.hosts[worker as usize];
         (host.health, host.started_ms, host.version) = (health, started_ms, self.version);
     }
 
-    /// What has changed after a version, for a scheduler; version 0: everything.
+    /// The changes after a version, with the addresses for one scheduler. Version 0 returns the full membership without ended
+    /// workers.
     pub(crate) fn since(&self, version: u64, scheduler: u32) -> MembershipUpdate {
         let complete = version == 0;
         let (mut hosts, mut availability) = (Vec::new(), Vec::new());
@@ -120,7 +121,7 @@
     }
 }
 
-/// Listens, at an address for each scheduler.
+/// Opens a listener for each scheduler, and returns their addresses.
 pub(crate) async fn open(environment: &Arc<Environment>) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for scheduler in 0..environment.scenario.schedulers {
@@ -143,7 +144,7 @@
     Ok(addresses)
 }
 
-/// A number in the query of a request target.
+/// Parses a number from the query string of a request target; `None` if it is missing or not a number.
 fn query_number(target: &str, name: &str) -> Option<u64> {
     let (_, query) = target.split_once('?')?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -152,7 +153,7 @@
         .find_map(|(_, value)| value.parse().ok())
 }
 
-/// Serves one request.
+/// Serves one request of a scheduler for the membership.
 async fn serve(
     environment: &Environment,
     scheduler: u32,
--- a/crates/replay/src/sockets/faults.rs
+++ b/crates/replay/src/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario, played on the workers.
+//! Applies the faults of the scenario to the simulated workers.
 
 use super::discovery::Health;
 use super::workers::Fleet;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Plays one fault from its beginning to its end. `shift` is added to its times.
+/// Plays one fault from its beginning to its end. `shift`, in microseconds, is added to its times.
 pub(crate) async fn play(
     environment: Arc<Environment>,
     fleet: Arc<Fleet>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Discovery learns of a change after its delay.
+/// Changes the health of workers in discovery after its notice delay.
 async fn announce(environment: &Environment, workers: &[u32], health: Health, started_ms: u64) {
     Timer::after(Duration::from_millis(
         environment.scenario.discovery.notice_ms,
@@ -76,7 +76,7 @@
     }
 }
 
-/// New processes start once a crash or a drain is over.
+/// Restarts workers at the end of a crash or a drain, and announces the new processes.
 async fn restart(environment: &Environment, fleet: &Arc<Fleet>, workers: &[u32], at: Micros) {
     Timer::at(environment.instant(at)).await;
     for worker in workers {
--- a/crates/replay/src/sockets/http.rs
+++ b/crates/replay/src/sockets/http.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 as the stand-ins need it: complete messages with a Content-Length.
+//! The part of HTTP/1.1 that the simulated peers need: complete messages with a Content-Length.
 
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::io::{self, ErrorKind};
 
-/// A message that was received.
+/// A received request or response, without its body.
 pub(crate) struct Message {
     /// Method of a request; empty for a response.
     pub method: String,
@@ -12,14 +12,14 @@
     pub target: String,
     /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The peer closes the connection after it.
+    /// Whether the peer closes the connection after this message.
     pub close: bool,
 }
 
 impl Message {
-    /// A header's value.
+    /// The value of the first header with this lower-case name.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -28,14 +28,14 @@
     }
 }
 
-/// A connection, with a buffer of what was read beyond the last message.
+/// A connection, with a buffer of bytes read beyond the last message.
 pub(crate) struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl HttpConnection {
-    /// Takes over a stream.
+    /// Wraps a stream, and disables Nagle's algorithm on it.
     pub(crate) fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         HttpConnection {
@@ -49,7 +49,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Waits for the first byte of the next message.
+    /// Waits until the first byte of the next message has arrived.
     pub(crate) async fn wait_readable(&mut self) -> io::Result<()> {
         if self.buffer.is_empty() {
             self.fill_buffer().await?;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Reads one message, a response or a request, and skips its body.
+    /// Reads one message and skips its body; `response` selects between a response and a request.
     pub(crate) async fn read(&mut self, response: bool) -> io::Result<Message> {
         loop {
             if let Some((message, head, length)) = parse(&self.buffer, response)? {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Parses the head of a message; with it, the lengths of the head and of the body. `None`: it is not complete.
+/// Parses the head of a message; returns the message and the lengths of head and body in bytes. `None`: the head is incomplete.
 fn parse(bytes: &[u8], response: bool) -> io::Result<Option<(Message, usize, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let bad = |_| io::Error::from(ErrorKind::InvalidData);
--- a/crates/replay/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a child process, under its limits.
+//! Runs the real program as a child process under its resource limits.
 
 use super::http::HttpConnection;
 use super::{Environment, locked};
@@ -12,9 +12,9 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// A scheduler; killed when dropped.
+/// A scheduler process; it is killed and its directory removed on drop.
 pub(crate) struct Program {
-    /// Where it listens.
+    /// The address at which the scheduler listens.
     pub address: SocketAddr,
     child: Child,
     dir: PathBuf,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Starts a scheduler.
+/// Starts the scheduler with this index; `discovery` is the address from which it reads the membership.
 pub(crate) fn start(
     environment: &Environment,
     program: &Path,
@@ -37,7 +37,7 @@
 ) -> Result<Program, ReplayError> {
     let dir = std::env::temp_dir().join(format!("indigofold-replay-{}-{me}", std::process::id()));
     std::fs::create_dir_all(&dir).context(FileSnafu { path: &dir })?;
-    // A port that is free now; it is taken again at once.
+    // Binding to port 0 finds a free port; the listener closes here, and the program binds to the same port.
     let free = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .context(NoPortSnafu)?;
@@ -71,7 +71,7 @@
 }
 
 impl Program {
-    /// Waits until it is ready.
+    /// Polls the readiness endpoint until it returns 200, for at most `within`.
     pub(crate) async fn ready(&self, within: Duration) -> Result<(), ReplayError> {
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -92,7 +92,7 @@
         NotReadySnafu { within, log }.fail()
     }
 
-    /// How it ended, if it did.
+    /// The exit status; `None` while the process runs.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
--- a/crates/replay/src/sockets/workers.rs
+++ b/crates/replay/src/sockets/workers.rs
@@ -1,4 +1,4 @@
-//! Workers on sockets: the model of [`crate::worker`] behind HTTP, which reports updates by call-backs.
+//! Simulated workers on sockets: the model of [`crate::worker`] behind HTTP, which reports updates by callbacks.
 
 use super::discovery::name;
 use super::http::{HttpConnection, Message};
@@ -16,29 +16,29 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-/// Connections on which updates go to a scheduler.
+/// Number of connections for callbacks to each scheduler.
 const CALLBACK_CONNECTIONS: usize = 8;
-/// Attempts of each call-back.
+/// Maximum number of attempts to deliver a callback.
 const CALLBACK_ATTEMPTS: usize = 10;
-/// Between two attempts without a connection.
+/// Delay before the next attempt when no connection could be opened.
 const CALLBACK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two checks of how warm a worker is.
+/// Interval between two checks of the warm-up of a worker.
 const WARM_UP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two checks of whether a listener's process has ended.
+/// Interval at which a listener checks whether its process has ended.
 const LISTENER_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Between two checks of whether a connection's process has ended.
+/// Interval at which a connection checks whether its process has ended.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The listeners of a process that has ended are closed within this time.
+/// Time allowed for the listeners of an ended process to close, before a new process binds to the same addresses.
 const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(20);
-/// Attempts to listen at the addresses of a process that has ended.
+/// Maximum number of attempts to bind to the addresses of an ended process.
 const LISTEN_ATTEMPTS: usize = 50;
 
-/// A job that a client has sent, as workers need to know it.
+/// The properties of a sent job that a worker needs to run it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentJob {
-    /// Running time at speed 1.
+    /// Running time at speed 1, in microseconds.
     pub work: Micros,
-    /// Slots.
+    /// Number of slots that the job occupies.
     pub slots: u32,
 }
 
@@ -50,13 +50,13 @@
     total_work: Micros,
 }
 
-/// The process of a worker.
+/// A worker with the process state that outlives a restart.
 struct Process {
     worker: Mutex<Worker>,
     attempts: Mutex<HashMap<RunId, AcceptedAttempt>>,
-    /// Wakes the task that steps the worker.
+    /// Signals the task that steps the worker.
     wake: (Sender<()>, Receiver<()>),
-    /// Grows with each crash: listeners and connections of earlier ones close.
+    /// Increases with each crash, at which listeners and connections of earlier incarnations close.
     incarnation: AtomicU64,
     addresses: Mutex<Vec<SocketAddr>>,
 }
@@ -83,16 +83,16 @@
     }
 }
 
-/// All workers.
+/// All simulated workers.
 pub(crate) struct Fleet {
     environment: Arc<Environment>,
     processes: Vec<Process>,
     next_run_id: AtomicU64,
-    /// Where updates go, by scheduler.
+    /// Queues of callbacks, one for each scheduler; unset until the addresses of the schedulers are known.
     updates: OnceLock<Vec<Sender<String>>>,
 }
 
-/// Starts all workers.
+/// Opens the listeners of all workers, and spawns the tasks that step them.
 pub(crate) async fn open(environment: &Arc<Environment>) -> io::Result<Arc<Fleet>> {
     let scenario = &environment.scenario;
     let process = |n| {
@@ -118,7 +118,7 @@
         &self.processes[worker as usize]
     }
 
-    /// Starts to send updates, once the schedulers' addresses are known.
+    /// Spawns the tasks that send callbacks to the schedulers.
     pub(crate) fn start_callbacks(&self, schedulers: &[SocketAddr]) {
         let mut senders = Vec::new();
         for scheduler in schedulers.iter().copied() {
@@ -132,7 +132,7 @@
         let _ = self.updates.set(senders);
     }
 
-    /// Listens for each scheduler, at the addresses of an earlier process if there was one.
+    /// Opens a listener for each scheduler, at the addresses of the previous process if there was one.
     async fn listen(self: &Arc<Self>, worker: u32) -> io::Result<()> {
         let process = self.process(worker);
         let earlier = locked(&process.addresses).clone();
@@ -214,7 +214,7 @@
         connection.write(answer.as_bytes()).await
     }
 
-    /// A process that is stalled answers nothing.
+    /// Waits until the worker is no longer stalled: a stalled process sends no responses.
     async fn wait_for_stall(&self, worker: u32) {
         loop {
             let until = locked(&self.process(worker).worker).stalled_until();
@@ -225,12 +225,12 @@
         }
     }
 
-    /// The response to a request whose first byte came at `begun`.
+    /// The response to a request whose first byte arrived at `received_at`.
     fn answer(&self, worker: u32, scheduler: u32, request: &Message, begun: Micros) -> String {
         let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         match (request.method.as_str(), request.target.as_str()) {
             ("GET", "/-/healthy" | "/-/load") => self.answer_probe(worker),
-            ("DELETE", _) => empty("204 No Content"), // it stops nothing
+            ("DELETE", _) => empty("204 No Content"), // workers on sockets do not stop cancelled jobs
             ("POST", _) => {
                 let trace = request.header("x-trace-id").unwrap_or("");
                 let job = u64::from_str_radix(trace, 16).ok();
@@ -271,7 +271,7 @@
         };
         let total_work = offered.total_work();
         self.record_attempt(worker, scheduler, job, total_work, begun);
-        // Recorded before it is offered: it may start at once.
+        // The attempt is stored before the offer, as the job may start at once.
         let attempt = AcceptedAttempt {
             job,
             scheduler,
@@ -307,7 +307,7 @@
         self.environment.observe_at(begun, observation);
     }
 
-    /// Steps a worker whenever something is due, and reports what happened.
+    /// Steps a worker whenever an event is due or the task is woken, and reports the events.
     async fn run(self: Arc<Self>, worker: u32) {
         let process = self.process(worker);
         let mut events = Vec::new();
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Counts an event, and queues its call-back to the scheduler.
+    /// Records an event, and queues its callback to the scheduler.
     fn report(&self, worker: u32, now: Micros, event: Event) {
         let attempts = &self.process(worker).attempts;
         let attempt = match event {
@@ -364,7 +364,7 @@
         }
     }
 
-    /// Counts an event, and returns the state that the call-back reports, in JSON.
+    /// Records an event, and returns the JSON fragment of the state that the callback reports.
     fn record_event(
         &self,
         worker: u32,
@@ -397,26 +397,26 @@
         }
     }
 
-    /// A worker is stalled until then.
+    /// Stalls a worker from now until `until`.
     pub(crate) fn stall(&self, worker: u32, until: Micros) {
         locked(&self.process(worker).worker).stall(self.environment.now(), until);
         self.process(worker).wake();
     }
 
-    /// From now on a worker has this fraction of its speed.
+    /// Sets the factor on the speed of a worker.
     pub(crate) fn set_pace(&self, worker: u32, pace: f64) {
         locked(&self.process(worker).worker).set_pace(self.environment.now(), pace);
         self.process(worker).wake();
     }
 
-    /// A worker drains.
+    /// Drains a worker, and reports the jobs that it returns.
     pub(crate) fn drain(&self, worker: u32) {
         locked(&self.process(worker).worker).drain();
         self.process(worker).wake();
         self.report_events(worker);
     }
 
-    /// A worker's process dies; the agent on its machine reports what was lost.
+    /// Crashes the process of a worker. The agent on its machine still reports the lost jobs.
     pub(crate) fn crash(&self, worker: u32) {
         let process = self.process(worker);
         process.incarnation.fetch_add(1, Ordering::SeqCst);
@@ -433,7 +433,7 @@
         }
     }
 
-    /// A worker's process starts again, and warms up.
+    /// Starts a new process for a worker, after crashing one that still runs.
     pub(crate) async fn restart(self: &Arc<Self>, worker: u32) {
         if locked(&self.process(worker).worker).up() {
             self.crash(worker);
@@ -450,7 +450,7 @@
         self.environment.start(warm_up);
     }
 
-    /// The checkers learn how warm a worker is, until it is warm or its process has ended.
+    /// Reports the warm-up of a worker to the checkers until it is warm or its process has ended.
     async fn observe_warm_up(self: Arc<Self>, worker: u32) {
         loop {
             let at = self.environment.now();
@@ -468,7 +468,7 @@
     }
 }
 
-/// Sends call-backs to a scheduler on one connection, which is opened again where it breaks.
+/// Sends callbacks to a scheduler on one connection, which is reopened when it fails.
 async fn send_callbacks(scheduler: SocketAddr, calls: Receiver<String>) {
     let mut connection: Option<HttpConnection> = None;
     while let Ok(call) = calls.recv().await {
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -1,9 +1,10 @@
-//! A survey: deployments drawn at random, the module and the baseline policies played on the same draws, and where the module
-//! is behind.
+//! A survey draws deployments at random, plays the module and the baseline policies on each, and reports where the module is
+//! behind.
 //!
-//! All policies of one deployment meet the same arrivals, running times, faults and clients (common random numbers), so
-//! that their differences are not the luck of a draw; what a policy does changes the network's jitter from then on. A
-//! deployment is played several times with other seeds, and the interval of a difference is Student's, over those.
+//! All policies of one deployment get the same arrivals, running times, faults and clients (common random numbers), so that
+//! differences between policies are not due to the draw. The network jitter is the exception: it depends on the actions of the
+//! policy. Each deployment is played several times with different seeds, and the interval of a difference is Student's
+//! t interval over these runs.
 
 pub mod draw;
 pub mod page;
@@ -25,12 +26,12 @@
 use std::sync::PoisonError;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// The version of the ranges and of the rows: rows of another version are of another survey.
+/// The version of the draw ranges and of the row format. Rows of another version belong to another survey.
 pub const VERSION: u32 = 1;
-/// Runs of each deployment, at least and at most.
+/// Minimum and maximum number of runs of each deployment.
 pub const RUNS: (u32, u32) = (2, 16);
 
-/// Threads of a survey.
+/// Maximum number of threads of a survey.
 const MAX_THREADS: usize = 256;
 
 /// Student's 97.5% point for 1 to 15 degrees of freedom.
@@ -42,54 +43,54 @@
 /// The parameters of a survey.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The [`VERSION`] of the program that wrote it.
+    /// The [`VERSION`] of the program that wrote the plan.
     pub version: u32,
     /// The seed from which deployments are drawn.
     pub seed: u64,
-    /// Runs of each.
+    /// Number of runs of each deployment; see [`RUNS`].
     pub runs: u32,
-    /// The policies, the module among them.
+    /// The policies to play, including the module.
     pub policies: Vec<Policy>,
 }
 
-/// The results of a policy on a deployment.
+/// The results of one policy on one deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Played {
     /// The service metric of each run.
     #[serde(rename = "figures")]
     pub metrics: Vec<f64>,
-    /// Breaches of rules, over all runs.
+    /// Number of breaches by rule, over all runs.
     pub breaches: BTreeMap<String, u64>,
-    /// Shares of jobs in time, late, refused, failed; fetches and attempts per job.
+    /// Means over the runs: the shares of jobs served in time, served late, refused and failed, then fetches and attempts per job.
     pub shares: [f64; 6],
 }
 
 impl Played {
-    /// The mean service metric.
+    /// The mean service metric over all runs; 0 without runs.
     pub fn mean(&self) -> f64 {
         self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
     }
 }
 
-/// The results on a deployment.
+/// The results of all policies on one deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its number.
+    /// The number of the deployment.
     pub number: u64,
-    /// Its traits, by which the survey groups deployments.
+    /// The traits of the deployment, by which the summary groups.
     pub traits: Vec<String>,
-    /// Each policy on it.
+    /// The results by policy.
     pub played: BTreeMap<Policy, Played>,
 }
 
 /// The module compared with the best baseline policy that does not see the true state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Against {
-    /// That policy.
+    /// The best baseline policy.
     pub best: Policy,
     /// Module less that one.
     pub by: f64,
-    /// ... with 95%.
+    /// The 95% confidence interval of the difference.
     pub interval: [f64; 2],
 }
 
@@ -108,7 +109,7 @@
 }
 
 impl Row {
-    /// The module against the best of the others; `None` where one of them was not played.
+    /// Compares the module with the best baseline policy; `None` if the module or every such policy is missing.
     pub fn against(&self) -> Option<Against> {
         let module = self.played.get(&Policy::Module)?;
         let plain = self
@@ -184,7 +185,7 @@
     })
 }
 
-/// Checks that the first line of a file names the same plan.
+/// Checks that the first line of a survey file contains the same plan.
 fn check_first_line(path: &Path, plan: &Plan, line: &[u8]) -> Result<(), ReplayError> {
     let other: Plan = serde_json::from_slice(line)
         .ok()
@@ -201,7 +202,8 @@
     Ok(())
 }
 
-/// The rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
+/// Opens a survey file and reads its rows, or writes the plan to a new file. Returns the rows, and the file positioned at its
+/// end. An incomplete last line, as an interrupted survey leaves it, is truncated.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), ReplayError> {
     let mut file = OpenOptions::new()
         .read(true)
@@ -235,11 +237,11 @@
     Ok((rows, file))
 }
 
-/// Plays the deployments 0 to `count` that the file does not hold yet, on so many threads; each row is written as it is
-/// done. All rows, by number: the same on any number of threads, and however often it was stopped.
+/// Plays those of the deployments 0 to `count` (exclusive) that the file does not contain yet, and appends each row to the file
+/// when it is complete. Returns all rows by number. The rows depend neither on the number of threads nor on interruptions.
 ///
 /// # Errors
-/// The file cannot be used, or a deployment not be played.
+/// The plan is invalid, the file cannot be used, or a deployment cannot be played.
 pub fn survey(
     plan: &Plan,
     count: u64,
@@ -299,17 +301,17 @@
     }
 }
 
-/// The rows so far, and the file to which each new one goes.
+/// The rows so far, and the file to which new rows are appended.
 struct Results<'a> {
     path: &'a Path,
     file: File,
     rows: BTreeMap<u64, Row>,
-    /// The first error.
+    /// The first error, which stops the survey.
     error: Option<ReplayError>,
 }
 
 impl Results<'_> {
-    /// Writes a row, or keeps its error; false where the survey cannot go on.
+    /// Writes a row, or stores its error. Returns false if the survey must stop.
     fn add(&mut self, row: Result<Row, ReplayError>) -> bool {
         match row.and_then(|row| self.write(row)) {
             Ok(()) => true,
@@ -333,19 +335,20 @@
 /// The summary of a survey.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Deployments.
+    /// Number of deployments.
     pub count: usize,
-    /// Those on which the module is ahead of every policy that does not see the true state; and where the interval says so.
+    /// Number of deployments on which the module is ahead of every policy that does not see the true state, and of those on which
+    /// the whole interval is above 0.
     pub ahead: [usize; 2],
-    /// Those on which it is behind, and where the interval says so.
+    /// Number of deployments on which the module is behind, and of those on which the whole interval is below 0.
     pub behind: [usize; 2],
-    /// Those on which the module broke a rule, and each policy's number.
+    /// Number of deployments on which each policy broke a rule.
     pub broke: BTreeMap<Policy, usize>,
-    /// Mean service metrics.
+    /// Mean service metric of each policy.
     pub means: BTreeMap<Policy, f64>,
-    /// By what deployments are like: how many, the mean difference, and on how many the module is behind.
+    /// By trait: the number of deployments, the mean difference, and the number on which the module is behind.
     pub traits: BTreeMap<String, (usize, f64, usize)>,
-    /// Numbers of those on which it loses most, the worst first.
+    /// Numbers of the deployments with the lowest differences, the worst first.
     pub worst: Vec<u64>,
 }
 
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -1,5 +1,5 @@
-//! Deployments drawn at random from wide ranges. The ranges are the table in `docs/survey.md`; a change of one is a change
-//! of the survey, and [`super::VERSION`] goes up with it.
+//! Draws random deployments from wide ranges. The ranges are listed in the table in `docs/survey.md`; a change of a range
+//! changes the survey and must increase [`super::VERSION`].
 
 use crate::sampling::{between, draw, unit};
 use crate::scenario::{
@@ -9,9 +9,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// First tries that a run holds at the most, about.
+/// Target number of first tries of a run; the load of a run ends after about as many, within the bounds of [`SECONDS`].
 const JOBS: f64 = 6_000.0;
-/// A run is so long at least, and at most.
+/// Minimum and maximum duration of the load of a run, in seconds.
 const SECONDS: (f64, f64) = (15.0, 30.0);
 
 fn log_between(rng: &mut Pcg64Mcg, low: f64, high: f64) -> f64 {
@@ -26,7 +26,7 @@
     unit(rng) < of
 }
 
-/// Shares that sum to 1.
+/// Draws `n` shares that sum to 1.
 fn shares(rng: &mut Pcg64Mcg, n: u32) -> Vec<f64> {
     let drawn: Vec<f64> = (0..n).map(|_| between(rng, 0.15, 1.0)).collect();
     let sum: f64 = drawn.iter().sum();
@@ -85,7 +85,7 @@
     }
 }
 
-/// A fraction of all workers, without repetition.
+/// Draws a fraction of all workers, at least one, without repetition; returns their indices in ascending order.
 fn pick_workers(rng: &mut Pcg64Mcg, all: u32, fraction: f64) -> Vec<u32> {
     let wanted = ((f64::from(all) * fraction).round() as u32).clamp(1, all);
     let mut left: Vec<u32> = (0..all).collect();
@@ -96,7 +96,7 @@
     taken
 }
 
-/// Waves of a release.
+/// Number of waves in which a release drains the workers.
 const RELEASE_WAVES: u32 = 6;
 
 fn draw_faults(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Fault> {
@@ -125,7 +125,7 @@
     faults
 }
 
-/// `None`: a release, which is several faults.
+/// Draws the parameters of a fault. `None`: the fault is a release, which consists of several drain faults.
 fn draw_fault_kind(rng: &mut Pcg64Mcg, kind: u32) -> Option<FaultKind> {
     Some(match kind {
         0 => FaultKind::Hang,
@@ -145,7 +145,7 @@
     })
 }
 
-/// All workers drain, in waves one after the other.
+/// The faults of a release: all workers drain, in consecutive waves.
 fn release(workers: u32, at_s: f64, for_s: f64) -> Vec<Fault> {
     let wave_s = (for_s / f64::from(RELEASE_WAVES)).max(0.5);
     let wave = |n: u32| Fault {
@@ -158,13 +158,13 @@
     waves.filter(|fault| !fault.workers.is_empty()).collect()
 }
 
-/// The deployment of this number.
+/// Draws the deployment with this number; the same seed and number always give the same deployment.
 #[allow(
     clippy::too_many_lines,
     reason = "one draw after the other: their order is part of what a seed means"
 )]
 pub fn deployment(seed: u64, number: u64) -> Scenario {
-    // The order of draws is part of the survey: see [`super::VERSION`].
+    // A change of the order of draws changes the survey, like a change of the ranges: see [`super::VERSION`].
     let rng = &mut draw(seed, number, 0x5e4e);
     let zones = (0..uniform_int(rng, 1, 3))
         .map(|n| format!("room-{n}"))
@@ -245,7 +245,7 @@
         .collect()
 }
 
-/// `slots` are those of all workers.
+/// `slots` is the total number of slots of all workers.
 fn draw_machines(rng: &mut Pcg64Mcg, slots: u32) -> Machines {
     let things = chance(rng, 0.5).then(|| Things {
         kept: uniform_int(rng, 2, 12),
@@ -273,7 +273,7 @@
     }
 }
 
-/// `capacity` is what the fleet can do, in first tries a second.
+/// `capacity` is the capacity of all workers, in first tries per second.
 fn draw_load(rng: &mut Pcg64Mcg, capacity: f64) -> Load {
     let rate = capacity * between(rng, 0.35, 0.95);
     let seconds = (JOBS / rate).clamp(SECONDS.0, SECONDS.1);
@@ -297,7 +297,7 @@
     }
 }
 
-/// What a deployment is like, in a few words; the survey groups by them.
+/// The traits of a deployment, by which the survey groups its results.
 pub fn traits(s: &Scenario) -> Vec<String> {
     let load = s.load.rate / s.capacity();
     let mut traits = vec![
@@ -317,7 +317,7 @@
     traits
 }
 
-/// The interval between bounds in which a value lies.
+/// Names the interval between ascending bounds in which a value lies.
 fn band(value: f64, bounds: &[f64], name: &str) -> String {
     match bounds.iter().position(|bound| value < *bound) {
         Some(0) => format!("{name} under {}", bounds[0]),
--- a/crates/replay/src/survey/page.rs
+++ b/crates/replay/src/survey/page.rs
@@ -1,4 +1,4 @@
-//! A survey as a page and as text.
+//! Renders a survey as an HTML page and as text.
 
 use super::{Row, Summary, draw};
 use crate::baseline::Policy;
@@ -12,7 +12,7 @@
 
 type Bad = Box<dyn std::error::Error>;
 
-/// As text: the summary, what deployments are like, and the worst.
+/// Renders a survey as text: the summary, the groups by trait, and the worst deployments.
 pub fn text(rows: &[Row], s: &Summary) -> String {
     let mut out = String::new();
     write_policies(&mut out, s);
@@ -74,10 +74,10 @@
     );
 }
 
-/// As one self-contained HTML page.
+/// Renders a survey as one self-contained HTML page.
 ///
 /// # Errors
-/// A plot cannot be drawn.
+/// A plot cannot be drawn, or the template cannot be rendered.
 pub fn page(title: &str, rows: &[Row], s: &Summary) -> Result<String, Bad> {
     let mut sorted: Vec<_> = rows
         .iter()
@@ -125,17 +125,17 @@
         .render(minijinja::Value::from(minijinja::value::Serde(data)))?)
 }
 
-/// The scenario file of a deployment, to be played by itself.
+/// The scenario of a deployment as JSON, for a replay of that deployment alone.
 ///
 /// # Errors
-/// It cannot be written.
+/// The scenario cannot be serialised.
 pub fn scenario(seed: u64, number: u64) -> Result<String, Bad> {
     Ok(serde_json::to_string_pretty(&draw::deployment(
         seed, number,
     ))?)
 }
 
-/// Differences in order, each with its interval.
+/// Plots the differences in ascending order, each with its interval, as SVG.
 fn differences(of: &[(f64, [f64; 2])]) -> Result<String, Bad> {
     let mut svg = String::new();
     {
@@ -170,7 +170,7 @@
     Ok(svg)
 }
 
-/// The module's figure over that of who knows all.
+/// Plots the service metric of the module over that of the all-knowing policy, as SVG.
 fn scatter(points: &[(f64, f64)]) -> Result<String, Bad> {
     let mut svg = String::new();
     {
--- a/crates/replay/src/survey/tests.rs
+++ b/crates/replay/src/survey/tests.rs
@@ -36,7 +36,8 @@
     let s = summary(&rows, 2);
     assert_eq!((s.ahead, s.behind, s.worst), ([1, 1], [2, 1], vec![1, 2]));
     assert_eq!(s.traits["jump"].0, 3);
-    // By hand: differences 0.2, -0.35, 0.1 have mean -0.0167 and deviation 0.2930; 4.303 / sqrt(3) of that is 0.728.
+    // Computed by hand: the differences 0.2, -0.35, 0.1 have the mean -0.0167 and the standard deviation 0.2930; times
+    // 4.303 / sqrt(3) that is 0.728.
     let (mean, [low, high]) = paired(&[0.7, 0.2, 0.6], &[0.5, 0.55, 0.5]);
     assert!(
         (mean + 1.0 / 60.0).abs() < 1e-9 && (high - low - 2.0 * 0.7279).abs() < 1e-3,
--- a/crates/replay/src/survey_command.rs
+++ b/crates/replay/src/survey_command.rs
@@ -1,4 +1,4 @@
-//! `indigofold-replay survey`.
+//! The `indigofold-replay survey` command.
 
 use super::Bad;
 use super::files::bar;
@@ -8,39 +8,39 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// What is asked of it.
+/// Arguments of the command.
 #[derive(Args)]
 pub(crate) struct Survey {
-    /// Deployments.
+    /// Number of deployments.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=100_000))]
     count: u64,
-    /// They are drawn from here.
+    /// Seed from which the deployments are drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs of each, 2 to 16.
+    /// Number of runs of each deployment, 2 to 16.
     #[arg(long, default_value_t = 3)]
     runs: u32,
-    /// Policies beside the module; all without it.
+    /// Policies to compare with the module; all if omitted.
     #[arg(long, value_enum)]
     policy: Vec<Policy>,
-    /// Threads; as many as there are cores without it. The result is the same.
+    /// Number of threads; the number of cores if omitted. The result does not depend on it.
     #[arg(long)]
     threads: Option<usize>,
-    /// Rows go here as they are done, one a line; what is there already is not played again.
+    /// File to which each completed row is appended as one line; deployments already in it are not played again.
     #[arg(long, short, default_value = "survey.jsonl")]
     out: PathBuf,
-    /// So many of the worst are shown.
+    /// Number of the worst deployments to show.
     #[arg(long, default_value_t = 10)]
     worst: usize,
-    /// Write a page here.
+    /// Write an HTML report to this file.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Print the scenario of the deployment of this number, and play nothing.
+    /// Print the scenario of the deployment with this number, and play nothing.
     #[arg(long)]
     scenario: Option<u64>,
 }
 
-/// Plays the survey, or goes on with one.
+/// Plays a survey, or resumes one from its file.
 pub(crate) fn call(args: &Survey, json: bool) -> Result<(), Bad> {
     let mut out = std::io::stdout();
     if let Some(number) = args.scenario {
--- a/crates/replay/src/virtual_time.rs
+++ b/crates/replay/src/virtual_time.rs
@@ -1,5 +1,6 @@
-//! Replays in virtual time: the scheduler's own engine and module, an emulated network, and the same workers and clients as
-//! on sockets. One queue of events; the same seed gives the same result, bit for bit.
+//! Replays in virtual time: a discrete-event simulation of the real scheduler engine and its module, an emulated network, and
+//! the same worker and client models as on sockets. All events go through one queue, and the same seed gives exactly the same
+//! result.
 
 use crate::baseline::{BaselineScheduler, Policy};
 use crate::check::{Checker, Verdict};
@@ -35,75 +36,75 @@
 use events::Event;
 use schedulers::{Action, DecisionCore, Scheduler};
 
-/// A job is answered this long before its client's deadline, as in the program; in microseconds.
+/// Schedulers answer a job this long before its client's deadline, as the real program does; in microseconds.
 const ANSWER_MARGIN: Micros = 40_000;
-/// A worker acknowledges an attempt within this time, as in the program; in microseconds.
+/// An attempt without an acknowledgement counts as unacknowledged after this time, as in the real program; in microseconds.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = 250_000;
-/// Between two empty answers of a watch of discovery, in microseconds.
+/// A discovery watch without changes returns an empty response after this time, in microseconds.
 const WATCH_TIMEOUT: Micros = 4_000_000;
-/// A probe without an answer has failed after this time, in microseconds.
+/// A probe without a response fails after this time, in microseconds.
 const PROBE_TIMEOUT: Micros = 250_000;
-/// The greatest age of a worker's load report, in microseconds.
+/// Maximum age of a worker's load report before it is renewed, in microseconds.
 const REPORT_MAX_AGE: Micros = 500_000;
-/// A refused connection is noticed within this time, in microseconds.
+/// Upper bound of the time after which a scheduler notices a refused connection, in microseconds.
 const CONNECT_TIMEOUT: Micros = 200_000;
-/// Arrivals between two calls for progress.
+/// Number of arrivals between two calls of the progress callback.
 const PROGRESS_INTERVAL: u64 = 4096;
 
-/// What becomes of a recording's retries.
+/// How a replay treats retries, in particular those of a recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Retries {
-    /// The client model makes its own.
+    /// The client model generates retries; recorded ones are ignored.
     #[default]
     Model,
-    /// They are sent when they were sent.
+    /// Recorded retries are sent at their recorded times.
     Recorded,
-    /// There are none.
+    /// No retries are sent.
     None,
 }
 
-/// A request as the access log of its scheduler would have it.
+/// A request as its scheduler's access log would record it.
 #[derive(Clone, Debug)]
 pub struct LoggedRequest<'a> {
-    /// The job.
+    /// The job that the request belongs to.
     pub arrival: &'a Arrival,
-    /// 0 for the job's first try.
+    /// Number of the retry; 0 for the job's first try.
     pub retry: u32,
-    /// The scheduler.
+    /// Index of the scheduler.
     pub scheduler: u32,
-    /// When the request had arrived.
+    /// When the request arrived at the scheduler.
     pub from: Micros,
-    /// When the scheduler had answered, or the client had left.
+    /// When the scheduler answered, or the client disconnected.
     pub to: Micros,
-    /// The status; `None`: the client left.
+    /// The HTTP status; `None`: the client disconnected before a response.
     pub status: Option<u16>,
 }
 
-/// The result of a run. Its serialised names are those of results that are stored.
+/// The result of a run. The serialised names must stay those of stored results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The service metrics.
+    /// The service metrics of the run.
     pub outcome: Outcome,
-    /// The checkers' verdict.
+    /// Breaches of the rules that the checkers found.
     pub verdict: Verdict,
-    /// Events handled, or observations taken on sockets.
+    /// Number of events handled in virtual time, or of observations recorded on sockets.
     pub events: u64,
-    /// Fetches from the object store.
+    /// Number of fetches from the object store.
     #[serde(default)]
     pub fetches: u64,
-    /// Log lines of schedulers, by text without digits.
+    /// Number of scheduler log lines by text, with digits removed so that lines of one kind are counted together.
     #[serde(rename = "notes")]
     pub scheduler_messages: BTreeMap<String, u64>,
 }
 
-/// An attempt from when it is sent until its scheduler knows how it ended.
+/// An attempt from the time it is sent until its scheduler learns how it ended.
 struct RunInProgress {
     scheduler: u32,
     attempt: AttemptId,
     worker: u32,
     work_item: worker::Job,
-    /// The scheduler has heard from the worker.
+    /// Whether the scheduler has received a message from the worker about this attempt.
     acknowledged: bool,
 }
 
@@ -112,21 +113,21 @@
     scenario: &'a Scenario,
     seed: u64,
     retries: Retries,
-    /// The policy sees the true state of all workers.
+    /// Whether the policy sees the true state of all workers.
     knows_all: bool,
     now: Micros,
     queue: EventQueue,
     handled_events: u64,
     network_rng: Pcg64Mcg,
     schedulers: Vec<Scheduler>,
-    /// Requests sent so far, by zone: schedulers take turns.
+    /// Number of requests sent so far by zone, for round-robin over the schedulers of the zone.
     zone_turns: Vec<u32>,
     scheduler_messages: BTreeMap<String, u64>,
     workers: Vec<Worker>,
     worker_numbers: FxHashMap<WorkerId, u32>,
-    /// When each worker is to be stepped.
+    /// When the next timer event of each worker is due.
     worker_timers: Vec<Option<Micros>>,
-    /// The last load report of each worker, and when it was made.
+    /// The last load report of each worker, with the time at which it was made.
     load_reports: Vec<(Micros, worker::Report)>,
     discovered: Vec<DiscoveredWorker>,
     client_jobs: Vec<ClientJob>,
@@ -134,33 +135,33 @@
     requests: FxHashMap<JobId, ClientRequest>,
     next_job: JobId,
     runs: FxHashMap<RunId, RunInProgress>,
-    /// Runs of attempts that have neither ended nor been cancelled.
+    /// Run ids of attempts that have neither ended nor been cancelled.
     run_ids: FxHashMap<AttemptId, RunId>,
     next_run_id: RunId,
     store: Arc<Mutex<ObjectStore>>,
-    /// How long a fetch takes by itself, in microseconds.
+    /// Duration of a fetch without contention, in microseconds.
     fetch_time: Micros,
     service: Service,
     checker: Checker<'a>,
-    /// Used again, to save allocations.
+    /// Reused to avoid allocations.
     action_buffer: Vec<Action>,
-    /// Used again, to save allocations.
+    /// Reused to avoid allocations.
     update_buffer: Vec<worker::Event>,
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation of the program's module, before the first arrival.
+    /// Creates a simulation whose schedulers run the real engine and module.
     ///
     /// # Errors
-    /// What the scheduler rejects of the scenario.
+    /// The scenario contains settings that the scheduler rejects.
     pub fn new(scenario: &'a Scenario, seed: u64, retries: Retries) -> Result<Self, ReplayError> {
         Self::with_policy(scenario, seed, retries, Policy::Module)
     }
 
-    /// A simulation whose schedulers follow this policy.
+    /// Creates a simulation whose schedulers follow this policy.
     ///
     /// # Errors
-    /// What the scheduler rejects of the scenario.
+    /// The scenario contains settings that the scheduler rejects.
     pub fn with_policy(
         scenario: &'a Scenario,
         seed: u64,
@@ -207,7 +208,7 @@
         Ok(simulation)
     }
 
-    /// The faults of the scenario, and each scheduler's first membership and watch.
+    /// Schedules the faults of the scenario, and gives each scheduler its initial membership and watch.
     fn schedule_initial_events(&mut self) {
         let from = self.now;
         for (n, fault) in self.scenario.faults.iter().enumerate() {
@@ -225,13 +226,13 @@
         self.queue.push(at, event);
     }
 
-    /// Draws a delay on the network about a mean in milliseconds.
+    /// Draws a network delay around a mean in milliseconds; returns microseconds.
     fn network_delay(&mut self, mean_ms: f64) -> Micros {
         let jitter = 1.0 + self.scenario.network.jitter * (2.0 * unit(&mut self.network_rng) - 1.0);
         (mean_ms * 1e3 * jitter).max(1.0) as Micros
     }
 
-    /// Draws the delay of a message between a scheduler and a worker, either way.
+    /// Draws the one-way delay of a message between a scheduler and a worker, in either direction.
     fn delay_to_worker(&mut self, scheduler: u32, worker: u32) -> Micros {
         let network = &self.scenario.network;
         let zone = self.schedulers[scheduler as usize].zone;
@@ -243,11 +244,11 @@
         self.network_delay(mean_ms)
     }
 
-    /// Plays arrivals to their end, and everything that follows from them. `log` takes each request once it has ended,
-    /// `progress` the number of an arrival now and then.
+    /// Plays all arrivals, until every job that they start has ended. `log` receives each request once it has ended;
+    /// `progress` receives the number of an arrival every [`PROGRESS_INTERVAL`] arrivals.
     ///
     /// # Errors
-    /// An arrival that cannot be read or made.
+    /// An arrival cannot be read or generated.
     pub fn play(
         mut self,
         mut arrivals: impl Iterator<Item = Result<Arrival, ReplayError>>,
@@ -281,7 +282,7 @@
         Ok(self.into_run())
     }
 
-    /// No job is left. What recurs by itself would go on for ever.
+    /// Whether no job is left. The loop must then stop, as recurring events such as watches never end.
     fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.runs.is_empty() && self.all_client_jobs_ended()
     }
@@ -308,7 +309,7 @@
     (0..scenario.workers()).map(worker).collect()
 }
 
-/// Schedulers with seeds of their own out of `rng`.
+/// Creates all schedulers, each with its own seed drawn from `rng`.
 fn new_schedulers(
     scenario: &Scenario,
     policy: Policy,
--- a/crates/replay/src/virtual_time/clients.rs
+++ b/crates/replay/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each job over its first try and all its retries.
+//! Clients in virtual time: each job with its first try and all its retries.
 
 use super::events::Event;
 use super::{LoggedRequest, Retries, Simulation};
@@ -10,28 +10,28 @@
 use indigofold_core::JobId;
 use smallvec::SmallVec;
 
-/// A client's job.
+/// The state of a client's job.
 pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
     pub(super) deadline_at: Micros,
     beyond_quota: bool,
-    /// Requests without a response, and retries that are still to be sent.
+    /// Number of requests without a response plus retries that are scheduled but not yet sent.
     pending: u32,
-    /// Requests that are at schedulers.
+    /// Requests that still await a response.
     requests: SmallVec<[JobId; 2]>,
     last_response: Option<ClientResponse>,
-    /// Its end has not been counted yet.
+    /// Whether the end of the job has not been counted yet.
     open: bool,
 }
 
 /// One request of a client at a scheduler.
 pub(super) struct ClientRequest {
     pub(super) client_job: u32,
-    /// 0 for the first try.
+    /// Number of the retry; 0 for the first try.
     retry: u32,
     scheduler: u32,
     arrived_at: Micros,
-    /// The scheduler has answered it.
+    /// Whether the scheduler has answered the request; the response may still be on its way.
     pub(super) answered: bool,
 }
 
@@ -40,7 +40,7 @@
         self.free_client_jobs.len() == self.client_jobs.len()
     }
 
-    /// A client has a new job, and sends its first try.
+    /// Creates a job for a new arrival, and sends its first try.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         let beyond_quota = self.service.record_arrival(arrival.at, arrival.parish);
         let sent_at = arrival.at;
@@ -66,7 +66,7 @@
         self.send_request(slot, 0);
     }
 
-    /// Puts a job into a free slot.
+    /// Stores a job in a free slot, and returns the slot.
     fn store_client_job(&mut self, client_job: ClientJob) -> u32 {
         match self.free_client_jobs.pop() {
             Some(slot) => {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A response has reached its client: the job ends, or a retry follows.
+    /// Handles a response that has reached its client: the job ends, or a retry is scheduled.
     pub(super) fn handle_response(
         &mut self,
         job: JobId,
@@ -159,7 +159,7 @@
         self.retry_or_end(slot, request.retry, response);
     }
 
-    /// Schedules the retry that follows an unsuccessful response, or ends a job that waits for nothing more.
+    /// Schedules the retry after an unsuccessful response, or ends the job if nothing is pending for it.
     fn retry_or_end(&mut self, slot: u32, retry: u32, response: ClientResponse) {
         let client_job = &mut self.client_jobs[slot as usize];
         let arrival = &client_job.arrival;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The deadline of a client's job has come. Slots are used again: the event may be of an earlier job.
+    /// Abandons a job whose deadline has passed. Slots are reused, so the event may belong to an earlier job and is then ignored.
     pub(super) fn handle_client_deadline(
         &mut self,
         slot: u32,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A client leaves with all its requests.
+    /// Ends a job and all its open requests, as its client disconnects.
     fn abandon_requests(&mut self, slot: u32, log: &mut impl FnMut(LoggedRequest<'_>)) {
         for job in std::mem::take(&mut self.client_jobs[slot as usize].requests) {
             let Some(request) = self.requests.remove(&job) else {
@@ -229,7 +229,7 @@
         self.end_client_job(slot, JobEnd::DeadlinePassed(self.now));
     }
 
-    /// Counts the end of a job, once.
+    /// Records the end of a job; later calls for the same job do nothing.
     fn end_client_job(&mut self, slot: u32, end: JobEnd) {
         let client_job = &mut self.client_jobs[slot as usize];
         if !std::mem::take(&mut client_job.open) {
@@ -240,14 +240,14 @@
         self.end_if_idle(slot);
     }
 
-    /// Frees the slot of a job of which nothing more comes.
+    /// Frees the slot of a job that has no pending requests or retries, after recording its end if that is still open.
     fn end_if_idle(&mut self, slot: u32) {
         let client_job = &self.client_jobs[slot as usize];
         if client_job.pending > 0 {
             return;
         }
         if client_job.open {
-            // All recorded retries have ended, and none was served.
+            // All recorded retries have ended without success.
             let end = match client_job.last_response {
                 Some(ClientResponse::Refused(_)) => JobEnd::Refused(self.now),
                 Some(ClientResponse::Served | ClientResponse::Failed) | None => {
--- a/crates/replay/src/virtual_time/discovery.rs
+++ b/crates/replay/src/virtual_time/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the membership as it knows it, and the schedulers' calls and watches.
+//! Service discovery: its view of the membership, and the schedulers' calls and watches.
 
 use super::events::Event;
 use super::{Simulation, WATCH_TIMEOUT};
@@ -8,16 +8,16 @@
 use indigofold::api::{Entry, Scope, WorkerState};
 use indigofold_core::CoreInput;
 
-/// What discovery knows of a worker.
+/// Discovery's view of a worker, which lags behind the true state.
 #[derive(Clone, Copy)]
 pub(super) struct DiscoveredWorker {
     state: WorkerState,
-    /// When its process started; 0: long ago.
+    /// When the process started; 0: before the simulation.
     started_at: Micros,
 }
 
 impl DiscoveredWorker {
-    /// Active since long before the simulation.
+    /// A worker that has been active since before the simulation.
     pub(super) const ACTIVE: DiscoveredWorker = DiscoveredWorker {
         state: WorkerState::Active,
         started_at: 0,
@@ -25,7 +25,7 @@
 }
 
 impl Simulation<'_> {
-    /// All workers in the form that schedulers receive.
+    /// The entries of all workers, as schedulers receive them.
     pub(super) fn membership(&self) -> Vec<Entry> {
         (0..self.scenario.workers())
             .map(|worker| self.membership_entry(worker))
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A scheduler calls for the whole membership, as a watch does when it begins.
+    /// A scheduler requests the full membership, as a watch does when it begins; the response follows after the call delay.
     pub(super) fn request_membership(&mut self, scheduler: u32) {
         let call_ms = self.scenario.discovery.call_ms as f64;
         let at = self.now + self.network_delay(call_ms.max(0.01));
@@ -68,7 +68,7 @@
         self.schedule(self.now + WATCH_TIMEOUT, event);
     }
 
-    /// Discovery learns of a change, and reports it to the schedulers that watch.
+    /// Discovery learns of a change to a worker, and reports it to all schedulers with an open watch.
     pub(super) fn handle_discovery_change(
         &mut self,
         worker: u32,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The checkers learn what a scheduler now knows of a worker.
+    /// Records for the checkers which availability a scheduler now sees for a worker.
     fn observe_availability(&mut self, scheduler: u32, worker: u32) {
         let known = self.discovered[worker as usize];
         let available = known.state == WorkerState::Active;
--- a/crates/replay/src/virtual_time/event_queue.rs
+++ b/crates/replay/src/virtual_time/event_queue.rs
@@ -1,11 +1,11 @@
-//! The queue of events, ordered by time and, at the same time, by insertion.
+//! The event queue, ordered by time; events with equal times keep their order of insertion.
 
 use super::events::Event;
 use crate::scenario::Micros;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event with its time.
+/// An event with its time and its sequence number of insertion.
 struct Scheduled {
     at: Micros,
     sequence: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Ord for Scheduled {
-    /// The earliest is the greatest: [`BinaryHeap`] pops the greatest first.
+    /// Reversed, so that the earliest event is the greatest: [`BinaryHeap`] pops the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
--- a/crates/replay/src/virtual_time/events.rs
+++ b/crates/replay/src/virtual_time/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, and which part handles each.
+//! The events of a simulation, and the dispatch to their handlers.
 
 use super::{LoggedRequest, Simulation};
 use crate::client::ClientResponse;
@@ -7,24 +7,24 @@
 use indigofold::api::{Status, WorkerState};
 use indigofold_core::JobId;
 
-/// Something that happens at a time. Schedulers, workers and faults are numbers from 0, client jobs are slots.
+/// An event of the simulation. Schedulers, workers and faults are indices from 0; a client job is the index of its slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Event {
-    /// The next first try of the load is sent.
+    /// The next arrival of the load is due, and its first try is sent.
     Arrival,
     /// A client sends a retry, unless its job has ended.
     RetryDue { client_job: u32, retry: u32 },
-    /// A request has reached its scheduler.
+    /// A request reaches its scheduler.
     RequestAtScheduler { scheduler: u32, job: JobId },
     /// A scheduler is due to be stepped.
     SchedulerTimer { scheduler: u32 },
-    /// An attempt has reached its worker.
+    /// An attempt reaches its worker.
     AttemptAtWorker(RunId),
-    /// A scheduler learns that an attempt was rejected, or had no connection.
+    /// A scheduler learns that a worker rejected an attempt, or that the connection failed.
     AttemptRejected { run: RunId, status: Status },
     /// A scheduler learns that a worker has accepted an attempt.
     AttemptAccepted(RunId),
-    /// A worker should have acknowledged an attempt by now.
+    /// The time in which a worker must acknowledge an attempt is over.
     AcknowledgementTimeout(RunId),
     /// A worker learns that an attempt was cancelled.
     CancelAtWorker(RunId),
@@ -32,28 +32,29 @@
     WorkerTimer { worker: u32 },
     /// A scheduler learns what happened to a run.
     WorkerUpdate(worker::Event),
-    /// A response has reached its client.
+    /// A response reaches its client.
     ResponseAtClient {
         job: JobId,
         response: ClientResponse,
     },
-    /// A client stops waiting; `arrival` is the low part of its job's number, since slots are used again.
+    /// The deadline of a client's job passes. `arrival` is the low 32 bits of the arrival's number and identifies the job, since
+    /// slots are reused.
     ClientDeadline { client_job: u32, arrival: u32 },
     /// A scheduler learns that a client no longer waits.
     ClientLeft { scheduler: u32, job: JobId },
-    /// A probe has reached its worker.
+    /// A probe reaches its worker.
     ProbeAtWorker { scheduler: u32, worker: u32 },
-    /// The answer of a probe is back, or its time-out is over.
+    /// A scheduler receives the response to a probe, or the probe times out.
     ProbeResult {
         scheduler: u32,
         worker: u32,
         answered: bool,
     },
-    /// A scheduler receives the whole membership.
+    /// A scheduler receives the full membership.
     MembershipResponse { scheduler: u32 },
-    /// A watch of discovery returns empty.
+    /// A discovery watch times out without a change, and returns an empty response.
     WatchTimeout { scheduler: u32 },
-    /// Discovery learns of a change; `started_at` is when the process started, 0 for long ago.
+    /// Discovery learns of a change to a worker; `started_at` is when its process started, 0 if it has ended or drains.
     DiscoveryChange {
         worker: u32,
         state: WorkerState,
@@ -63,9 +64,9 @@
     FaultBegins { fault: u32 },
     /// A fault of the scenario ends.
     FaultEnds { fault: u32 },
-    /// Workers with a recurring stall stop for a while.
+    /// The next stall of a fault with recurring stalls begins.
     StallDue { fault: u32 },
-    /// The checkers learn how warm a worker is.
+    /// The warm-up state of a worker is reported to the checkers.
     WarmUpCheck { worker: u32 },
 }
 
@@ -73,7 +74,7 @@
     /// Handles one event other than an arrival. `log` takes each request once it has ended.
     pub(super) fn handle_event(&mut self, event: Event, log: &mut impl FnMut(LoggedRequest<'_>)) {
         match event {
-            // The load is read where the loop runs.
+            // Handled by `Simulation::play`, which reads the load.
             Event::Arrival => {}
             Event::RetryDue { client_job, retry } => self.handle_retry_due(client_job, retry),
             Event::RequestAtScheduler { scheduler, job } => self.handle_request(scheduler, job),
--- a/crates/replay/src/virtual_time/faults.rs
+++ b/crates/replay/src/virtual_time/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario: what they do to workers when they begin and end.
+//! Applies the faults of the scenario to workers when they begin and end.
 
 use super::Simulation;
 use super::events::Event;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// One stall of workers that stall again and again.
+    /// Stalls the workers of a fault with recurring stalls once, and schedules the next stall.
     pub(super) fn stall_workers(&mut self, number: u32) {
         let fault = &self.scenario.faults[number as usize];
         let ends_at = self.scenario.from() + ((fault.at_s + fault.for_s) * 1e6) as Micros;
@@ -88,7 +88,7 @@
 
     fn restart_worker(&mut self, worker: u32) {
         if self.workers[worker as usize].up() {
-            // What a draining worker still runs is lost with its process.
+            // A draining worker loses the jobs that still run when its process ends.
             self.workers[worker as usize].crash();
             self.step_worker(worker);
         }
@@ -97,7 +97,7 @@
         self.announce(worker, WorkerState::Active, self.now);
     }
 
-    /// Discovery learns of a change after its delay.
+    /// Schedules the change for discovery, which notices it after its configured delay.
     fn announce(&mut self, worker: u32, state: WorkerState, started_at: Micros) {
         let at = self.now + self.scenario.discovery.notice_ms * 1000;
         let event = Event::DiscoveryChange {
--- a/crates/replay/src/virtual_time/schedulers.rs
+++ b/crates/replay/src/virtual_time/schedulers.rs
@@ -1,4 +1,4 @@
-//! Schedulers: the inputs that each receives, and how the actions that it decides on are carried out.
+//! Schedulers in virtual time: passes inputs to each scheduler, and carries out the actions that it decides on.
 
 use super::events::Event;
 use super::{ACKNOWLEDGEMENT_TIMEOUT, RunInProgress, Simulation};
@@ -16,12 +16,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// An idle connection is not used again after this time, in microseconds.
+/// Idle connections are not reused after this time, in microseconds.
 const IDLE_CONNECTION_TIMEOUT: Micros = 3_000_000;
-/// Idle connections that a scheduler keeps to one worker.
+/// Maximum number of idle connections that a scheduler keeps to one worker.
 const MAX_IDLE_CONNECTIONS: u32 = 16;
 
-/// Something that a scheduler wants done.
+/// An action that a scheduler has decided on.
 pub(super) enum Action {
     SendAttempt(Attempt),
     CancelAttempt(AttemptId),
@@ -68,7 +68,7 @@
     }
 }
 
-/// What decides: the program's engine, or a baseline policy.
+/// The decision logic of a scheduler: the real program's engine, or a baseline policy.
 pub(super) enum DecisionCore {
     Engine(Box<Engine>),
     Baseline(Box<BaselineScheduler>),
@@ -105,7 +105,7 @@
 }
 
 impl IdleConnections {
-    /// Takes a connection for an attempt; false where a new one must be made.
+    /// Takes an idle connection for an attempt. Returns false if there is none and a new connection must be opened.
     fn take(&mut self, now: Micros) -> bool {
         if now > self.last_used + IDLE_CONNECTION_TIMEOUT {
             self.count = 0;
@@ -116,23 +116,23 @@
         reused
     }
 
-    /// A connection is idle again.
+    /// Returns a connection to the idle ones.
     fn put_back(&mut self, now: Micros) {
         self.count = (self.count + 1).min(MAX_IDLE_CONNECTIONS);
         self.last_used = now;
     }
 }
 
-/// A scheduler.
+/// The state of one scheduler.
 pub(super) struct Scheduler {
     pub(super) zone: u32,
-    /// It has a watch of discovery open.
+    /// Whether the scheduler has a discovery watch open.
     pub(super) watching: bool,
     core: DecisionCore,
     pending_actions: Rc<PendingActions>,
     /// When its next timer event is due.
     timer_at: Option<Micros>,
-    /// By worker.
+    /// Idle connections by worker.
     idle_connections: Vec<IdleConnections>,
 }
 
@@ -148,21 +148,21 @@
         }
     }
 
-    /// The process behind the connections has died.
+    /// Drops the idle connections to a worker whose process has ended.
     pub(super) fn drop_connections(&mut self, worker: u32) {
         self.idle_connections[worker as usize].count = 0;
     }
 }
 
 impl Simulation<'_> {
-    /// The scheduler that the next request of a zone's clients goes to.
+    /// The scheduler that receives the next request from the clients of a zone, in round-robin order.
     pub(super) fn next_scheduler_in(&mut self, zone: u32) -> u32 {
         let turn = &mut self.zone_turns[zone as usize];
         *turn += 1;
         self.scenario.scheduler_of(zone, *turn)
     }
 
-    /// Hands an input to a scheduler.
+    /// Passes an input to a scheduler, and carries out the resulting actions.
     pub(super) fn notify_scheduler(&mut self, scheduler: u32, input: CoreInput) {
         let best = if self.knows_all {
             self.best_worker_for(&input)
@@ -178,7 +178,8 @@
         self.perform_actions(scheduler);
     }
 
-    /// The worker at which the job of an input would end first, by the true state of all.
+    /// The worker that would complete the job of an input first, by the true state of all workers; `None` if the input is not
+    /// about a job or no worker takes it.
     fn best_worker_for(&self, input: &CoreInput) -> Option<WorkerId> {
         let job = match input {
             CoreInput::Job(request, ..) => request.id,
@@ -186,7 +187,7 @@
             _ => return None,
         };
         let work_item = self.work_item(job)?;
-        // What is on its way to a worker counts as well: it arrives before this one.
+        // Attempts on their way to a worker count as well: they arrive before this one.
         let mut in_transit = vec![0.0; self.workers.len()];
         for run in self.runs.values().filter(|run| !run.acknowledged) {
             in_transit[run.worker as usize] += run.work_item.total_work() as f64;
@@ -201,7 +202,7 @@
             .map(|(_, w)| id(w as u32))
     }
 
-    /// A job as workers receive it, without a run id.
+    /// The job in the form that workers receive, with run id 0.
     fn work_item(&self, job: JobId) -> Option<worker::Job> {
         let client_job = self.requests.get(&job)?.client_job;
         let arrival = &self.client_jobs[client_job as usize].arrival;
@@ -218,16 +219,16 @@
         })
     }
 
-    /// A request has reached its scheduler.
+    /// Passes a request to the scheduler that it has reached.
     pub(super) fn handle_request(&mut self, scheduler: u32, job: JobId) {
         let Some(request) = self.requests.get(&job) else {
             return;
         };
         let client_job = &self.client_jobs[request.client_job as usize];
         let arrival = &client_job.arrival;
-        // A client counts from when it sent the request.
+        // The deadline counts from the time at which the client sent its first try.
         let until = client_job.deadline_at;
-        // Where nothing is cached, a subject would only teach the module that there are no fetches.
+        // Without object caches, a subject would only teach the module that there are no fetches.
         let things = self.scenario.machines.things.as_ref();
         let request = Request {
             id: job,
@@ -263,7 +264,7 @@
         self.perform_actions(scheduler);
     }
 
-    /// Carries out what a scheduler has decided, and sets its timer.
+    /// Carries out the pending actions of a scheduler, and sets its timer.
     fn perform_actions(&mut self, scheduler: u32) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         let pending = &self.schedulers[scheduler as usize].pending_actions;
@@ -370,7 +371,7 @@
         self.schedule(timeout_at, Event::AcknowledgementTimeout(run_id));
     }
 
-    /// How long a scheduler takes to have a connection: a new one costs a round trip before the first byte.
+    /// Time until a scheduler has a connection, in microseconds: 0 for an idle one, a round trip for a new one.
     fn connect_time(&mut self, scheduler: u32, worker: u32, delay: Micros) -> Micros {
         let connections = &mut self.schedulers[scheduler as usize].idle_connections;
         if connections[worker as usize].take(self.now) {
@@ -380,7 +381,7 @@
         }
     }
 
-    /// A worker has accepted an attempt: its connection is free for the next one.
+    /// Marks an attempt as acknowledged, and returns its connection to the idle ones.
     pub(super) fn handle_acceptance(&mut self, run: RunId) {
         let Some(run) = self.runs.get_mut(&run) else {
             return;
@@ -397,7 +398,7 @@
         }
     }
 
-    /// A scheduler learns what happened to a run.
+    /// Passes a worker's event about a run to its scheduler.
     pub(super) fn handle_worker_update(&mut self, update: worker::Event) {
         let run_id = update.run_id();
         let Some(run) = self.runs.get_mut(&run_id) else {
@@ -419,7 +420,7 @@
         }
     }
 
-    /// Cancels an attempt. Where workers stop cancelled jobs, it stops once the message is there.
+    /// Cancels an attempt. If workers stop cancelled jobs in this scenario, the job stops once the message reaches its worker.
     fn cancel_attempt(&mut self, scheduler: u32, attempt: AttemptId) {
         let Some(run_id) = self.run_ids.remove(&attempt) else {
             return;
@@ -435,7 +436,7 @@
         }
     }
 
-    /// A scheduler has answered a request.
+    /// Sends a scheduler's answer to its client.
     fn send_response(&mut self, job: JobId, answer: Answer) {
         let Some(request) = self.requests.get_mut(&job) else {
             return;
@@ -452,7 +453,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// A scheduler learns how an attempt ended.
+    /// Passes the status with which an attempt ended to its scheduler.
     pub(super) fn end_attempt(&mut self, run_id: RunId, status: Status) {
         let Some(run) = self.runs.remove(&run_id) else {
             return;
--- a/crates/replay/src/virtual_time/workers.rs
+++ b/crates/replay/src/virtual_time/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: attempts that reach them, and what they report.
+//! Workers in virtual time: handles attempts, cancellations and probes, and sends updates and load reports.
 
 use super::events::Event;
 use super::{CONNECT_TIMEOUT, PROBE_TIMEOUT, REPORT_MAX_AGE, Simulation};
@@ -7,7 +7,7 @@
 use crate::worker::{self, Offer, RunId};
 use indigofold::api::Status;
 
-/// Between two checks of how warm a worker is, in microseconds.
+/// Interval between two checks of the warm-up of a worker, in microseconds.
 const WARM_UP_CHECK_INTERVAL: Micros = 100_000;
 
 impl Simulation<'_> {
@@ -28,7 +28,7 @@
             return self.schedule(self.now + delay, event);
         }
         if worker.stalled(self.now) {
-            // The connection is made, and nobody reads until the stall is over.
+            // The connection is accepted, but the worker does not read from it until the stall is over.
             let stalled_until = worker.stalled_until();
             return self.schedule(stalled_until, Event::AttemptAtWorker(run_id));
         }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Steps a worker, and sends what happened to the schedulers of its runs.
+    /// Steps a worker, and sends its events to the schedulers of the runs.
     pub(super) fn step_worker(&mut self, number: u32) {
         let worker = &mut self.workers[number as usize];
         worker.step(self.now);
@@ -102,7 +102,7 @@
         self.schedule(self.now + delay, Event::WorkerUpdate(update));
     }
 
-    /// Schedules the next step of a worker, unless an earlier one is scheduled.
+    /// Schedules the next step of a worker, unless a step at that time or earlier is already scheduled.
     pub(super) fn set_worker_timer(&mut self, worker: u32) {
         let Some(due) = self.workers[worker as usize].due() else {
             return;
@@ -131,7 +131,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// The load of a worker as it reports it: renewed at most every [`REPORT_MAX_AGE`].
+    /// The load report of a worker, which is renewed once it is older than [`REPORT_MAX_AGE`].
     pub(super) fn load_report(&mut self, worker: u32) -> worker::Report {
         let (made_at, report) = &mut self.load_reports[worker as usize];
         if self.now > *made_at + REPORT_MAX_AGE {
@@ -141,7 +141,8 @@
         *report
     }
 
-    /// The checkers learn how warm a worker is, until it is warm or its process has ended.
+    /// Reports the warm-up of a worker to the checkers, and schedules the next check until the worker is warm or its process has
+    /// ended.
     pub(super) fn check_warm_up(&mut self, worker: u32) {
         let Some(capacity) = self.workers[worker as usize].warming_capacity(self.now) else {
             return self.checker.observe(Observation::WarmedUp { worker });
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -1,47 +1,49 @@
-//! The worker model: cores, slots, one queue in order of arrival, a warm-up after each start, and stalls. No clock and no
-//! I/O: the owner offers jobs, passes the time, asks when something is due, and takes the events.
+//! The worker model: cores, slots, one queue, a warm-up after each start, and stalls. The model has no clock and does no
+//! I/O: its owner offers jobs, passes the current time, calls [`Worker::step`] when [`Worker::due`] says so, and takes the
+//! events.
 //!
-//! A job runs on as many cores as it has slots. A worker that is warming up runs at a fraction of its speed that grows evenly
-//! with time and with the work done, from `initial_capacity` to 1; the fraction is read when a job starts.
+//! A job runs on as many cores as it has slots. A worker that is warming up runs at a fraction of its speed that grows
+//! linearly with time and with the work done, from `initial_capacity` to 1. The fraction is read when a job starts and does
+//! not change while that job runs.
 
 use crate::object_store::ObjectCache;
 use crate::scenario::{Kind, Micros, Order};
 use std::collections::VecDeque;
 
-/// A run of a job at a worker, by a number that the owner chooses.
+/// Identifies one run of a job at a worker; the owner of the worker chooses the number.
 pub type RunId = u64;
 
-/// A worker's id as schedulers know it: any mapping will do, as long as all use the same.
+/// The id by which schedulers know the worker with this index. The mapping is arbitrary, but all parts must use the same.
 pub fn id(worker: u32) -> u32 {
     worker.wrapping_mul(0x9e37_79b1) ^ 0x5f
 }
 
-/// A worker's answer to an offered job.
+/// A worker's response to an offered job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It runs or waits.
+    /// The job runs or waits in the queue.
     Accepted,
-    /// The queue is full; it never ran.
+    /// The queue is full, or the worker drains; the job did not run.
     Full,
 }
 
 /// Something that happened to a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A job began.
+    /// The job started.
     Started(RunId),
-    /// The part of it that is done, in thousandths.
+    /// The completed fraction of the work, in thousandths.
     Progress(RunId, u32),
-    /// It is done.
+    /// The job completed.
     Done(RunId),
-    /// It was returned before it started.
+    /// The draining worker returned the job before it started.
     Returned(RunId),
-    /// It was lost as the process died.
+    /// The job was lost when the process crashed.
     Lost(RunId),
 }
 
 impl Event {
-    /// The run that it is about.
+    /// The run that the event belongs to.
     pub fn run_id(self) -> RunId {
         match self {
             Event::Started(run_id)
@@ -53,33 +55,33 @@
     }
 }
 
-/// A job that is offered.
+/// A job that is offered to a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Job {
-    /// Its run.
+    /// The run that this offer starts.
     pub run_id: RunId,
-    /// Its running time at speed 1.
+    /// Running time at speed 1, in microseconds.
     pub work: Micros,
-    /// Slots that it occupies.
+    /// Number of slots that the job occupies.
     pub slots: u32,
-    /// Higher ones start first where the order is by priority.
+    /// Jobs with a higher priority start first under [`Order::Priority`].
     pub priority: i32,
-    /// The object that it needs, and how long a fetch of that takes by itself, in microseconds.
+    /// The object that the job needs, and the duration of its fetch without contention, in microseconds.
     pub thing: Option<(u64, Micros)>,
 }
 
 impl Job {
-    /// Its running time at speed 1, times its slots.
+    /// Running time at speed 1 times the number of slots, in microseconds.
     pub fn total_work(&self) -> Micros {
         self.work * u64::from(self.slots)
     }
 }
 
-/// Work that is left of a run. It is done evenly from a moment on.
+/// The remaining work of a run, which is done at a constant speed from `since` on.
 #[derive(Clone, Copy)]
 struct RemainingWork {
     since: Micros,
-    /// Microseconds at speed 1, at that moment.
+    /// Work that remains at `since`, in microseconds at speed 1.
     work: f64,
     speed: f64,
 }
@@ -101,12 +103,12 @@
 }
 
 impl Run {
-    /// The fraction of it that is done.
+    /// The completed fraction of the work, from 0 to 1.
     fn done(&self, now: Micros) -> f64 {
         1.0 - self.remaining.at(now) / self.work.max(1.0)
     }
 
-    /// From now on it runs at `factor` times its speed.
+    /// Multiplies the speed by `factor` from now on.
     fn change_speed(&mut self, now: Micros, factor: f64) {
         let RemainingWork { since, speed, .. } = self.remaining;
         self.remaining = RemainingWork {
@@ -118,7 +120,8 @@
         self.ends = self.remaining.since + duration as Micros;
     }
 
-    /// Nothing of it is done between two times. What is stalled already is put off by what comes on top only.
+    /// Stops the run between two times. The caller starts `from` at the end of an earlier stall, so that overlapping stalls
+    /// count once.
     fn stall(&mut self, from: Micros, until: Micros) {
         let work = self.work * (1.0 - self.done(from));
         self.remaining = RemainingWork {
@@ -134,35 +137,35 @@
 /// A worker's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     pub queue: u32,
-    /// Jobs that wait or run.
+    /// Number of waiting and running jobs.
     pub inflight: u32,
-    /// Free slots.
+    /// Number of free slots.
     pub free: u32,
 }
 
-/// Between two progress events of a run, in microseconds.
+/// Interval between two progress events of a run, in microseconds.
 const PROGRESS_INTERVAL: Micros = 1_000_000;
 
-/// A worker.
+/// The state of one worker.
 pub struct Worker {
     cores: u32,
     speed: f64,
     queue_capacity: u32,
     initial_capacity: f64,
     warm_up_time: Micros,
-    /// 0: long ago.
+    /// When the process last started; 0: before the simulation.
     started_at: Micros,
-    /// Since its start, in microseconds at speed 1.
+    /// Work done since the process started, in microseconds at speed 1.
     completed_work: f64,
     running: Vec<Run>,
     queue: VecDeque<Job>,
     order: Order,
     cache: Option<ObjectCache>,
-    /// The fraction of its speed that it has now.
+    /// Factor on the speed; below 1 while a fault slows the worker down.
     pace: f64,
-    /// Free slots.
+    /// Number of free slots.
     free: u32,
     stalled_until: Micros,
     up: bool,
@@ -171,7 +174,7 @@
 }
 
 impl Worker {
-    /// A worker of this kind and speed, which is warm.
+    /// Creates a worker of this kind and speed that has already warmed up.
     pub fn new(kind: &Kind, speed: f64) -> Self {
         Worker {
             cores: kind.cores,
@@ -194,7 +197,7 @@
         }
     }
 
-    /// The same, with an order of starting jobs and a cache of what they need.
+    /// Sets the order in which jobs start, and the cache of the objects that they need; `None`: jobs need no fetch.
     pub fn serving(self, order: Order, cache: Option<ObjectCache>) -> Self {
         Worker {
             order,
@@ -203,49 +206,49 @@
         }
     }
 
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub fn up(&self) -> bool {
         self.up
     }
 
-    /// Whether it is stalled now.
+    /// Whether the worker is stalled now.
     pub fn stalled(&self, now: Micros) -> bool {
         now < self.stalled_until
     }
 
-    /// When its last stall ends.
+    /// When the last stall ends; 0 if there was none since the process started.
     pub fn stalled_until(&self) -> Micros {
         self.stalled_until
     }
 
-    /// When its process last started; 0: long ago.
+    /// When the process last started; 0: before the simulation.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// The fraction of its capacity that it has reached in its warm-up.
+    /// The fraction of the full capacity that the warm-up has reached; 1 once the worker is warm.
     pub fn warmth(&self, now: Micros) -> f64 {
         if self.started_at == 0 || self.warm_up_time == 0 {
             return 1.0;
         }
         let by_time = now.saturating_sub(self.started_at) as f64 / self.warm_up_time as f64;
-        // Half the work that a warm worker could do in the warm-up time warms it, too.
+        // The warm-up also completes once the worker has done half the work that a warm one does in the warm-up time.
         let by_work = self.completed_work
             / (f64::from(self.cores) * self.speed * self.warm_up_time as f64 * 0.5);
         (self.initial_capacity + (1.0 - self.initial_capacity) * by_time.max(by_work)).min(1.0)
     }
 
-    /// Work that it can do in a microsecond now, at speed 1.
+    /// Work that all cores together can do in a microsecond now, in microseconds at speed 1.
     pub fn capacity(&self, now: Micros) -> f64 {
         f64::from(self.cores) * self.speed * self.pace * self.warmth(now)
     }
 
-    /// Its capacity as long as it is warming up; `None` once it is warm, or has ended.
+    /// The capacity while the worker is warming up; `None` once it is warm or its process has ended.
     pub fn warming_capacity(&self, now: Micros) -> Option<f64> {
         (self.up && self.warmth(now) < 1.0).then(|| self.capacity(now))
     }
 
-    /// Offers a job.
+    /// Offers a job, which starts at once or waits in the queue.
     pub fn offer(&mut self, now: Micros, job: Job) -> Offer {
         if self.draining || self.queue.len() as u32 >= self.queue_capacity {
             return Offer::Full;
@@ -258,7 +261,7 @@
         Offer::Accepted
     }
 
-    /// A job is cancelled: it stops, or never starts.
+    /// Cancels a run: a running job stops, a waiting one is removed from the queue.
     pub fn cancel(&mut self, now: Micros, run_id: RunId) {
         self.queue.retain(|w| w.run_id != run_id);
         if let Some(n) = self.running.iter().position(|r| r.run_id == run_id) {
@@ -267,7 +270,7 @@
         self.start_waiting(now);
     }
 
-    /// From now on it has this fraction of its speed.
+    /// Sets the factor on the speed, also for the jobs that are running.
     pub fn set_pace(&mut self, now: Micros, pace: f64) {
         let factor = pace / self.pace;
         self.pace = pace;
@@ -276,8 +279,8 @@
         }
     }
 
-    /// Microseconds until a job offered now would be done, by the true state: what runs and waits is spread evenly over
-    /// its cores. `None`: it takes no job, or is stalled.
+    /// Estimates the microseconds until a job offered now would be done, from the true state: running and waiting work is
+    /// assumed to spread evenly over the cores. `None`: the worker takes no jobs, or is stalled.
     pub fn would_end(&self, now: Micros, job: &Job) -> Option<f64> {
         if !self.up || self.draining || self.stalled(now) {
             return None;
@@ -301,7 +304,7 @@
         Some(wait + fetch + job.work as f64 / (capacity / f64::from(self.cores)))
     }
 
-    /// It is stalled from now on until then: nothing starts, ends or is reported.
+    /// Stalls the worker from now until `until`: no job starts or ends, and no event is reported.
     pub fn stall(&mut self, now: Micros, until: Micros) {
         let from = self.stalled_until.max(now);
         if until <= from {
@@ -313,7 +316,7 @@
         self.stalled_until = until;
     }
 
-    /// The process dies.
+    /// Crashes the process: all running and waiting jobs are lost, and the cache is emptied.
     pub fn crash(&mut self) {
         let lost = self
             .running
@@ -325,20 +328,20 @@
         self.cache.iter_mut().for_each(ObjectCache::clear);
     }
 
-    /// A new process starts, and warms up.
+    /// Starts a new process, which has to warm up.
     pub fn restart(&mut self, now: Micros) {
         (self.up, self.draining, self.started_at, self.completed_work) = (true, false, now, 0.0);
         self.free = self.cores;
     }
 
-    /// It takes nothing new, and returns what has not started.
+    /// Drains the worker: it accepts no new jobs and returns those that have not started.
     pub fn drain(&mut self) {
         self.draining = true;
         self.events
             .extend(self.queue.drain(..).map(|w| Event::Returned(w.run_id)));
     }
 
-    /// When it must be stepped next.
+    /// When [`Worker::step`] must be called next; `None` if nothing is pending or the process is down.
     pub fn due(&self) -> Option<Micros> {
         if !self.up {
             return None;
@@ -352,7 +355,7 @@
         run.into_iter().chain(start).min()
     }
 
-    /// Does what is due.
+    /// Ends the runs that are due, reports progress, and starts waiting jobs.
     pub fn step(&mut self, now: Micros) {
         if now < self.stalled_until || !self.up {
             return;
@@ -370,7 +373,7 @@
             }
             if run.next_progress_at <= now {
                 run.next_progress_at += PROGRESS_INTERVAL;
-                // Also while it fetches: the job makes progress, though no work of it is done.
+                // Also reported during a fetch, with an unchanged fraction.
                 let thousandths = (run.done(now) * 1000.0 + 0.5) as u32;
                 self.events.push(Event::Progress(run.run_id, thousandths));
             }
@@ -379,7 +382,7 @@
         self.start_waiting(now);
     }
 
-    /// The waiting job that starts next, if it fits now.
+    /// Index of the waiting job that starts next; `None` if there is none or it does not fit into the free slots.
     fn next_to_start(&self) -> Option<usize> {
         let fits = |n: &usize| self.queue[*n].slots <= self.free;
         match self.order {
@@ -392,7 +395,7 @@
         }
     }
 
-    /// Starts what fits, in its order.
+    /// Starts waiting jobs that fit, in the configured order.
     fn start_waiting(&mut self, now: Micros) {
         if now < self.stalled_until {
             return;
@@ -423,12 +426,12 @@
         }
     }
 
-    /// Moves the events since the last call into `into`.
+    /// Appends the events since the last call to `into`.
     pub fn take_events(&mut self, into: &mut Vec<Event>) {
         into.append(&mut self.events);
     }
 
-    /// Its load now.
+    /// The current load.
     pub fn report(&self) -> Report {
         let (queue, running) = (self.queue.len() as u32, self.running.len() as u32);
         Report {
--- a/crates/replay/tests/baseline.rs
+++ b/crates/replay/tests/baseline.rs
@@ -1,4 +1,4 @@
-//! Baseline schedulers: where attempts go, and when jobs are answered.
+//! Baseline schedulers: to which workers they send attempts, and when they answer jobs.
 
 use indigofold::api::{Effect, Entry, Request, Scope, Settings, Status, WorkerId, WorkerState};
 use indigofold_core::{
--- a/crates/replay/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, from a log to a report.
+//! The command line, from importing a log to writing a report.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -23,7 +23,7 @@
     serde_json::from_slice(&out.stdout).unwrap_or_else(|e| panic!("{args:?}: {e}"))
 }
 
-/// The worked example of `docs/replay.md`, with every operation.
+/// Runs the worked example of `docs/replay.md`, with every operation on recordings.
 #[test]
 #[allow(
     clippy::too_many_lines,
--- a/crates/replay/tests/client.rs
+++ b/crates/replay/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client model: when a client sends its next retry.
+//! The client model: whether and when a client sends its next retry.
 
 use indigofold_replay::client::{ClientResponse, next_retry};
 use indigofold_replay::scenario::{Clients, Effect};
--- a/crates/replay/tests/deployments.rs
+++ b/crates/replay/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! Deployments that the survey draws.
+//! The deployments that the survey draws.
 
 use indigofold_replay::scenario;
 use indigofold_replay::survey::draw::{deployment, traits};
--- a/crates/replay/tests/object_store.rs
+++ b/crates/replay/tests/object_store.rs
@@ -1,4 +1,4 @@
-//! The object store and the caches of workers.
+//! The object store, and the object caches of workers.
 
 use indigofold_replay::object_store::{ObjectCache, ObjectStore};
 use std::sync::{Arc, Mutex};
--- a/crates/replay/tests/rules.rs
+++ b/crates/replay/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Every checker catches the fault that it is for, and nothing where there is none.
+//! Every checker reports breaches of its rule, and reports nothing when the rule is kept.
 
 use indigofold_replay::check::{Checker, Observation, Rule, Verdict};
 use indigofold_replay::scenario::{self, Scenario};
@@ -47,7 +47,7 @@
     }
 }
 
-/// A job that is served as it should be.
+/// The observations of a job that is served without a breach.
 fn served(job: u64, class: u32, t: u64) -> Vec<Observation> {
     vec![
         accepted(job, class, t),
@@ -141,7 +141,7 @@
     broken(Rule::Repeats, twice(UNSAFE, 400_000));
     kept(twice(KEYED, 7_000_000));
     broken(Rule::Repeats, twice(KEYED, 7_700_000));
-    // One that was handed back never ran.
+    // An attempt that the worker returned before it started does not count as a run.
     kept(|t| {
         let mut all = twice(UNSAFE, 400_000)(t);
         all.insert(3, Observation::AttemptReturned { job: 1 });
@@ -199,7 +199,7 @@
                 available: true,
                 at: t + 10_000,
             }));
-            // A second report changes nothing: it counts from the first.
+            // A second report changes nothing: the grace period counts from the first one.
             all.push(Observation::AvailabilityReported {
                 scheduler,
                 worker: 3,
@@ -210,7 +210,7 @@
             all
         }
     };
-    // The attempt goes out 1 ms after the job came.
+    // The attempt is sent 1 ms after the job was accepted.
     kept(after(340, 0, false));
     broken(Rule::Drain, after(360, 0, false));
     kept(after(360, 1, false));
@@ -219,7 +219,8 @@
 
 #[test]
 fn warming_workers_are_not_overloaded_by_all_schedulers_together() {
-    // What it can do is 1 core: in 2 s three times that is 6 s of work; beyond it, what chance may add.
+    // The worker has a capacity of 1 core: three times that over 2 s is 6 s of work. The limit adds a margin for random
+    // variation.
     let mean = scenario().mean_total_work();
     let n = 6e6 / mean;
     let most = ((n + 3.0 * n.sqrt() + 3.0) * mean / 200_000.0) as u64;
@@ -252,7 +253,7 @@
     let burst = |count, apart| burst_of(count, apart, 3);
     kept(burst(most, 1_000));
     broken(Rule::WarmUp, burst(most + 1, 1_000));
-    // A third of it came from schedulers that knew of the start.
+    // Only a third of the work comes from a scheduler that knew of the restart, which is no breach.
     kept(burst_of(most + 6, 1_000, 1));
     kept(burst(300, 100_000));
     let found = verdict(burst(30, 1_000));
@@ -268,7 +269,8 @@
     });
 }
 
-/// Two attempts at once, where that is not allowed; one after the other has ended or was given up is none.
+/// Two concurrent attempts are a breach where speculative runs are not allowed. A second attempt after the first has ended or
+/// was cancelled is not.
 #[test]
 fn no_speculative_runs_where_they_are_not_allowed() {
     let mut scenario = scenario();
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -1,5 +1,5 @@
-//! The survey gives the same rows on any number of threads and after any stop; and baseline policies rank as they must on
-//! scenarios whose order is known.
+//! The survey gives the same rows on any number of threads and after an interruption, and policies rank as expected on scenarios
+//! whose ranking is known.
 
 use indigofold_replay::baseline::Policy;
 use indigofold_replay::load::Made;
@@ -32,7 +32,7 @@
         complete,
         survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played")
     );
-    // Stopped in the middle of a line: complete rows stay, and are not played a second time.
+    // An interruption in the middle of a line: complete rows are kept, and not played a second time.
     let text = std::fs::read_to_string(path("one")).expect("rows");
     let end = text.match_indices('\n').nth(3).expect("four lines").0;
     std::fs::write(path("torn"), &text[..end + 40]).expect("written");
@@ -49,7 +49,7 @@
             .len(),
         3
     );
-    // Another survey's rows are not mixed in, and what is no survey is left alone.
+    // A file of another survey is rejected, and a file that is no survey is rejected and left unchanged.
     let other = Plan {
         seed: 4,
         ..plan.clone()
@@ -74,7 +74,7 @@
         .expect_err("too few")
         .to_string();
     assert_eq!(why, "1 runs given, 2 to 16 are allowed");
-    // What is shown of it.
+    // The summary, the HTML page and the text show the survey.
     let summary = survey::summary(&complete, 2);
     assert_eq!((summary.count, summary.worst.len()), (5, 2));
     let html = page::page("A survey", &complete, &summary).expect("a page");
@@ -90,7 +90,7 @@
         .expect("a run")
 }
 
-/// One class, equal machines, half loaded; nothing kept, no trouble.
+/// One class and equal workers at 60% load, without object caches and faults.
 fn simple_scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
         .expect("the example");
@@ -125,7 +125,7 @@
     }
 }
 
-/// Where job workers keep what jobs need, rules that go by it fetch less, and so does the module.
+/// With object caches on the workers, policies that choose by subject need fewer fetches, and so does the module.
 #[test]
 fn policies_by_subject_fetch_less() {
     let mut s = simple_scenario();
@@ -188,7 +188,7 @@
         late > 0.8 * offered,
         "it is over: {late:.0} of {offered:.0}"
     );
-    // Hot things change what jobs are about, and nothing else where nothing is kept.
+    // Hot objects change only the subjects of jobs; without object caches, the outcome stays the same.
     let mut hot = calm.clone();
     let what = FaultKind::HotThings {
         fraction: 0.5,
@@ -217,7 +217,7 @@
 #[test]
 fn cancelled_jobs_stop_only_where_workers_stop_them() {
     let mut s = simple_scenario();
-    s.classes[0].deadline_ms = 300; // many are given up
+    s.classes[0].deadline_ms = 300; // many jobs miss this deadline and are cancelled
     s.classes[0].latency_target_ms = 100;
     s.load.rate = s.capacity() * 1.4;
     let served = |cancel: bool| {
@@ -232,7 +232,7 @@
     );
 }
 
-/// On what a deployment may be like, the module keeps the rules.
+/// The module breaks no rule on 24 randomly drawn deployments.
 #[test]
 fn the_module_keeps_the_rules_on_drawn_deployments() {
     for number in 0..24 {
@@ -283,7 +283,7 @@
     );
 }
 
-/// The second deployment's scenario, in its own words: the module keeps the rules on it, and is ahead of random.
+/// On the example scenario of the second deployment, the module keeps the rules and is ahead of the random policy.
 #[test]
 fn the_example_of_the_second_deployment_is_played() {
     let mut s =
--- a/crates/replay/tests/virtual_time.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! Virtual time: the same seed gives the same run; a replayed recording reaches nearly the same service metric.
+//! Virtual time: the same seed gives the same run, and a replayed recording reaches nearly the same service metric as the
+//! original run.
 
 use indigofold_replay::compare::compare;
 use indigofold_replay::export::{Form, Log, LogDamage, mapping};
@@ -13,7 +14,7 @@
 use indigofold_traffic::recording::Reader;
 use std::sync::Arc;
 
-/// A minute and a half with a jump, a hang, a crash and a drain.
+/// A scenario of 90 s with a load jump, a hang, a crash and a drain.
 fn scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
         .expect("the example");
@@ -45,7 +46,7 @@
         .expect("a run")
 }
 
-/// Plays live, keeps nothing but logs in this form, and imports them.
+/// Plays a generated load, writes access logs in this form, and imports a recording from these logs alone.
 fn recorded(s: &Scenario, seed: u64, form: Form, damage: LogDamage) -> (Run, Imported, Vec<u8>) {
     let dir = tempfile::tempdir().expect("a folder");
     let paths: Vec<_> = (0..s.schedulers)
@@ -108,7 +109,7 @@
     );
 }
 
-/// The service metric shows that half of the fleet is lost.
+/// Losing five workers for 60 s must show in the service metric and in the comparison.
 #[test]
 fn losing_half_the_fleet_lowers_the_service_metric() {
     let (s, mut bad) = (scenario(), scenario());
--- a/crates/replay/tests/worker.rs
+++ b/crates/replay/tests/worker.rs
@@ -1,4 +1,4 @@
-//! The worker model: queue, slots, warm-up, stalls and fetches.
+//! The worker model: queue, slots, warm-up, stalls, cancellation, speed changes and fetches.
 
 use indigofold_replay::object_store::{ObjectCache, ObjectStore};
 use indigofold_replay::scenario::{Kind, Micros, Order};
