--- a/crates/replay/src/survey/tests.rs
+++ b/crates/replay/src/survey/tests.rs
@@ -30,7 +30,9 @@
         row(1, [0.5, 0.6, 0.7], [0.9, 0.2, 0.4], [0.6, 0.7, 0.8]),
         row(2, [0.7, 0.2, 0.6], [0.1; 3], [0.5, 0.55, 0.5]),
     ];
-    let against = rows[1].against().expect("all were played");
+    let against = rows[1]
+        .against()
+        .expect("the module and a baseline policy were played");
     assert_eq!(against.best, Policy::ByKey);
     assert!((against.by + 0.1).abs() < 1e-12 && (against.interval[0] + 0.1).abs() < 1e-9);
     let s = summary(&rows, 2);
@@ -41,6 +43,6 @@
     let (mean, [low, high]) = paired(&[0.7, 0.2, 0.6], &[0.5, 0.55, 0.5]);
     assert!(
         (mean + 1.0 / 60.0).abs() < 1e-9 && (high - low - 2.0 * 0.7279).abs() < 1e-3,
-        "{low} {high}"
+        "the interval is {low} to {high}"
     );
 }
--- a/crates/replay/tests/baseline.rs
+++ b/crates/replay/tests/baseline.rs
@@ -123,7 +123,7 @@
     assert_eq!(
         transport.0.take().last().map(String::as_str),
         Some("1: Rejected(0)"),
-        "three attempts are all"
+        "the job is rejected after the limit of three attempts"
     );
     submit_job(&mut p, &transport, 2, 0);
     transport.0.take();
@@ -143,7 +143,12 @@
         let attempts = transport.0.take();
         attempts
             .iter()
-            .map(|c| c.rsplit(' ').next().expect("a number").to_string())
+            .map(|c| {
+                c.rsplit(' ')
+                    .next()
+                    .expect("a recorded call that ends with a worker")
+                    .to_string()
+            })
             .collect::<Vec<_>>()
     };
     let count = |of: &[String], w: &str| of.iter().filter(|o| *o == w).count();
@@ -159,7 +164,7 @@
     );
     assert!(
         ["1", "2", "3"].iter().all(|w| count(&keyed, w) <= 4),
-        "the bound spreads a hot one: {keyed:?}"
+        "the load bound spreads a hot subject over other workers: {keyed:?}"
     );
     let (mut p, transport) = scheduler_of(Policy::AllKnowing, Effect::Safe, 3);
     p.best = Some(3);
--- a/crates/replay/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -9,7 +9,7 @@
         .args(args)
         .current_dir(root)
         .output()
-        .expect("a run")
+        .expect("indigofold-replay must start")
 }
 
 #[track_caller]
@@ -123,7 +123,7 @@
         );
         assert!(
             published.expect("a schema") == out.stdout,
-            "docs/{file} is out of date: indigofold-replay schema {of}"
+            "docs/{file} is out of date: replace it by the output of `indigofold-replay schema {of}`"
         );
     }
 }
@@ -178,7 +178,7 @@
     }
     assert!(
         !dir.path().join("o").exists(),
-        "nothing is left of an import that failed"
+        "a failed import must not leave an output file"
     );
 }
 
--- a/crates/replay/tests/client.rs
+++ b/crates/replay/tests/client.rs
@@ -43,7 +43,7 @@
     assert_eq!(
         next(Effect::Unsafe, ClientResponse::Refused(700_000), 0, 600_000),
         None,
-        "its time is up before"
+        "the deadline passes before the retry would be sent"
     );
     assert_eq!(
         next(Effect::Unsafe, ClientResponse::Refused(0), 3, 9_000_000),
--- a/crates/replay/tests/deployments.rs
+++ b/crates/replay/tests/deployments.rs
@@ -29,7 +29,7 @@
     ] {
         assert!(
             drawn_traits.contains(name),
-            "{name} is never drawn: {drawn_traits:?}"
+            "no deployment has the trait {name:?}; drawn: {drawn_traits:?}"
         );
     }
     assert!(
--- a/crates/replay/tests/object_store.rs
+++ b/crates/replay/tests/object_store.rs
@@ -10,7 +10,11 @@
         [0, 0, 0, 0].map(|at| store.begin_fetch(at, 100)),
         [100, 100, 150, 200]
     );
-    assert_eq!(store.begin_fetch(100, 100), 150, "two are still under way");
+    assert_eq!(
+        store.begin_fetch(100, 100),
+        150,
+        "two fetches are still in progress"
+    );
     assert_eq!((store.begin_fetch(1_000, 100), store.fetches()), (100, 6));
 }
 
@@ -28,7 +32,7 @@
     assert_eq!(
         cache.access(800, 3, 100),
         100,
-        "in place of 2, which was used before 1"
+        "object 3 replaces object 2, the least recently used"
     );
     assert!(cache.contains(1) && !cache.contains(2) && cache.contains(3));
     cache.clear();
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -42,7 +42,7 @@
         complete,
         survey::survey(&plan, 5, 2, &path("torn"), count).expect("played")
     );
-    assert_eq!(played.into_inner(), 2, "three were there");
+    assert_eq!(played.into_inner(), 2, "three of five rows were complete");
     assert_eq!(
         survey::survey(&plan, 3, 2, &path("torn"), |_| {})
             .expect("there")
@@ -186,7 +186,7 @@
     let offered = slow.seconds[18..].iter().map(|s| s.offered).sum::<f64>();
     assert!(
         late > 0.8 * offered,
-        "it is over: {late:.0} of {offered:.0}"
+        "the service recovers once the fault has ended: {late:.0} of {offered:.0} earned"
     );
     // Hot objects change only the subjects of jobs; without object caches, the outcome stays the same.
     let mut hot = calm.clone();
@@ -228,7 +228,7 @@
     let (stops, goes_on) = (served(true), served(false));
     assert!(
         stops as f64 > 1.05 * goes_on as f64,
-        "in time: {stops} where it stops, {goes_on} where it goes on"
+        "served in time: {stops} if cancelled jobs stop, {goes_on} if they go on"
     );
 }
 
--- a/crates/replay/tests/virtual_time.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -99,9 +99,12 @@
     assert_eq!(a, b);
     assert_ne!(a.outcome, live(&s, 6).outcome);
     assert!(a.verdict.kept(), "{:?}", a.verdict.examples);
-    assert!(a.verdict.peak_warm_up_load > 0.0, "the crash made one cold");
+    assert!(
+        a.verdict.peak_warm_up_load > 0.0,
+        "the restart after the crash must load a worker that warms up"
+    );
     let ends: u64 = a.outcome.ends.iter().sum();
-    assert_eq!(ends, a.outcome.counts[0], "each first try ends once");
+    assert_eq!(ends, a.outcome.counts[0], "each job must end exactly once");
     assert!(
         a.outcome.ends[0] > ends * 9 / 10 && a.outcome.ends[1] + a.outcome.ends[2] > 0,
         "{:?}",
@@ -158,7 +161,7 @@
         let off = tally.taken as f64 / run.outcome.counts[0] as f64 - 1.0;
         assert!(
             off.abs() < 0.01,
-            "{form:?}: {} first tries for {}",
+            "{form:?}: {} first tries imported, {} were played",
             tally.taken,
             run.outcome.counts[0]
         );
@@ -166,7 +169,7 @@
         let off = replay.outcome.service_metric / run.outcome.service_metric - 1.0;
         assert!(
             off.abs() < 0.05,
-            "{form:?}: {} for {}",
+            "{form:?}: replayed service metric {}, original {}",
             replay.outcome.service_metric,
             run.outcome.service_metric
         );
@@ -204,7 +207,7 @@
     let sent = count(Retries::Recorded);
     assert!(
         sent > 0 && sent <= folded,
-        "{sent} of {folded}: none is sent for a job that is served by then"
+        "{sent} retries sent for {folded} recorded ones: served jobs must not retry"
     );
     assert!(count(Retries::Model) > 0);
 }
--- a/crates/replay/tests/worker.rs
+++ b/crates/replay/tests/worker.rs
@@ -51,7 +51,11 @@
     assert_eq!(w.offer(200, job(20, 100, 1)), Offer::Full);
     w.drain();
     assert_eq!(w.offer(200, job(21, 100, 1)), Offer::Full);
-    assert_eq!(events(&mut w, 200).len(), 4, "what waits is handed back");
+    assert_eq!(
+        events(&mut w, 200).len(),
+        4,
+        "the waiting jobs are returned"
+    );
     w.crash();
     assert_eq!(events(&mut w, 250), [Event::Lost(3)]);
     assert!(!w.up() && w.due().is_none());
@@ -68,7 +72,7 @@
     assert_eq!(
         events(&mut w, 149),
         [Event::Started(1)],
-        "the second waits for the end of the pause"
+        "the second job waits for the end of the stall"
     );
     assert_eq!(w.due(), Some(150));
     assert_eq!(events(&mut w, 150), [Event::Started(2)]);
@@ -86,13 +90,13 @@
     assert_eq!(
         w.due(),
         Some(2_000_000),
-        "a note on its progress comes first"
+        "the first progress event is due before the end of the job"
     );
     assert!(events(&mut w, 2_000_000).contains(&Event::Progress(1, 250)));
     assert_eq!(w.warmth(5_000_000), 0.625);
     assert_eq!(w.warmth(9_000_000), 1.0);
     (3..6).for_each(|n| assert_eq!(events(&mut w, n * 1_000_000 + 1).len(), 1));
-    assert!(w.warmth(3_000_000) > 0.6, "the work done counts too");
+    assert!(w.warmth(3_000_000) > 0.6, "work done speeds up the warm-up");
 }
 
 #[test]
@@ -136,7 +140,11 @@
     assert_eq!(events(&mut w, 100), [Event::Started(3)]);
     w.cancel(200, 9);
     assert_eq!(events(&mut w, 1000), [Event::Done(2)]);
-    assert_eq!(events(&mut w, 1100), [Event::Done(3)], "and never 1");
+    assert_eq!(
+        events(&mut w, 1100),
+        [Event::Done(3)],
+        "the cancelled run 1 must not complete"
+    );
 }
 
 #[test]
@@ -170,5 +178,9 @@
     assert_eq!(events(&mut w, 1_000_000), [Event::Progress(1, 500)]);
     assert_eq!(events(&mut w, 1_500_000), [Event::Done(1)]);
     w.offer(2_000_000, about(2, 7));
-    assert_eq!(w.due(), Some(3_000_000), "it is there");
+    assert_eq!(
+        w.due(),
+        Some(3_000_000),
+        "the cached object needs no fetch: only the progress event is due"
+    );
 }
