--- a/crates/replay/src/sockets.rs
+++ b/crates/replay/src/sockets.rs
@@ -47,8 +47,8 @@
     sent_jobs: Mutex<HashMap<u64, workers::SentJob>>,
 }
 
-fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Environment {
@@ -90,17 +90,17 @@
 
     /// Records an observation at a given time.
     fn observe_at(&self, at: Micros, observation: Observation) {
-        locked(&self.observations).push((at, observation));
+        lock(&self.observations).push((at, observation));
     }
 
     /// Spawns a detached task on the shared executor.
-    fn start(&self, task: impl Future<Output = ()> + Send + 'static) {
+    fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.spawn(task).detach();
     }
 
     /// Checks the recorded observations, and returns the result of a run that has ended.
-    fn run(&self) -> Run {
-        let mut observations = std::mem::take(&mut *locked(&self.observations));
+    fn result(&self) -> Run {
+        let mut observations = std::mem::take(&mut *lock(&self.observations));
         observations.sort_by_key(|(at, _)| *at);
         let mut checker = Checker::new(&self.scenario);
         let events = observations.len() as u64;
@@ -108,7 +108,7 @@
             checker.observe(observation);
         }
         let empty = Service::new(&self.scenario);
-        let service = std::mem::replace(&mut *locked(&self.service), empty);
+        let service = std::mem::replace(&mut *lock(&self.service), empty);
         Run {
             verdict: checker.finish(self.now()),
             outcome: service.outcome(),
@@ -150,7 +150,7 @@
         let _ = thread.join();
     }
     played?;
-    Ok(environment.run())
+    Ok(environment.result())
 }
 
 async fn play_in(
@@ -158,30 +158,30 @@
     program: &Path,
     arrivals: impl Iterator<Item = Result<Arrival, ReplayError>>,
 ) -> Result<(), ReplayError> {
-    let discovery = discovery::open(environment).await.context(StandInSnafu {
+    let discovery = discovery::listen(environment).await.context(StandInSnafu {
         stand_in: "discovery",
     })?;
-    let fleet = workers::open(environment).await.context(StandInSnafu {
+    let fleet = workers::start(environment).await.context(StandInSnafu {
         stand_in: "job workers",
     })?;
     let mut schedulers = Vec::new();
-    for me in 0..environment.scenario.schedulers {
-        let discovery = &discovery[me as usize];
-        schedulers.push(program::start(environment, program, me, discovery)?);
+    for index in 0..environment.scenario.schedulers {
+        let discovery = &discovery[index as usize];
+        schedulers.push(program::start(environment, program, index, discovery)?);
     }
     let addresses: Vec<_> = schedulers.iter().map(|s| s.address).collect();
     fleet.start_callbacks(&addresses);
     for scheduler in &schedulers {
-        scheduler.ready(READY_TIMEOUT).await?;
+        scheduler.wait_until_ready(READY_TIMEOUT).await?;
     }
     // The scenario begins once all schedulers are ready: arrivals and faults are shifted by the start-up time.
     let shift = environment.now() - environment.scenario.from();
     for (n, _) in environment.scenario.faults.iter().enumerate() {
-        environment.start(faults::play(environment.clone(), fleet.clone(), n, shift));
+        environment.spawn(faults::play(environment.clone(), fleet.clone(), n, shift));
     }
     let sent = clients::send(environment, arrivals, &addresses, shift).await;
     for scheduler in &mut schedulers {
-        if let Some(status) = scheduler.ended() {
+        if let Some(status) = scheduler.exit_status() {
             return SchedulerEndedSnafu { status }.fail();
         }
     }
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -2,7 +2,7 @@
 
 use super::http::HttpConnection;
 use super::workers::SentJob;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::check::Observation;
 use crate::client::{ClientResponse, next_retry};
 use crate::error::ReplayError;
@@ -79,15 +79,15 @@
     fn start_job(self: Arc<Self>, arrival: Arrival) {
         let environment = self.environment.clone();
         let beyond_quota = {
-            let mut service = locked(&environment.service);
+            let mut service = lock(&environment.service);
             service.record_lateness(environment.now().saturating_sub(arrival.at));
             service.record_arrival(arrival.at, arrival.parish)
         };
         self.open_jobs.fetch_add(1, Ordering::SeqCst);
-        environment.clone().start(async move {
+        environment.clone().spawn(async move {
             let end = self.run_job(&arrival).await;
             let job = EndedJob::new(&arrival, beyond_quota);
-            locked(&environment.service).record_end(&environment.scenario, job, end);
+            lock(&environment.service).record_end(&environment.scenario, job, end);
             self.open_jobs.fetch_sub(1, Ordering::SeqCst);
         });
     }
@@ -110,7 +110,7 @@
         let mut retry = 0;
         loop {
             if retry > 0 {
-                locked(&environment.service).record_retry(arrival.at);
+                lock(&environment.service).record_retry(arrival.at);
             }
             let response = match self.send_request(arrival, retry, deadline_at).await {
                 Some(ClientResponse::Served) => return JobEnd::Served(environment.now()),
@@ -163,7 +163,7 @@
             work: arrival.work,
             slots: arrival.slots,
         };
-        locked(&environment.sent_jobs).insert(job, sent);
+        lock(&environment.sent_jobs).insert(job, sent);
         let exchange = async { Some(self.exchange(&request).await) };
         let deadline = async {
             Timer::at(environment.instant(deadline_at)).await;
@@ -190,7 +190,7 @@
     fn next_scheduler_of(&self, arrival: &Arrival) -> u32 {
         let scenario = &self.environment.scenario;
         let zone = scenario.home(arrival.parish, arrival.number);
-        let mut turns = locked(&self.zone_turns);
+        let mut turns = lock(&self.zone_turns);
         turns[zone as usize] += 1;
         scenario.scheduler_of(zone, turns[zone as usize])
     }
@@ -199,7 +199,7 @@
     async fn exchange(&self, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
         let bytes = self.encode(request);
         let scheduler = request.scheduler as usize;
-        let idle = locked(&self.idle[scheduler]).pop();
+        let idle = lock(&self.idle[scheduler]).pop();
         let reused = idle.is_some();
         let mut connection = match idle {
             Some(connection) => connection,
@@ -225,7 +225,7 @@
             .and_then(|v| v.parse::<f64>().ok())
             .unwrap_or(0.0);
         if !answer.close {
-            locked(&self.idle[scheduler]).push(connection);
+            lock(&self.idle[scheduler]).push(connection);
         }
         Ok(match answer.status {
             200 => ClientResponse::Served,
--- a/crates/replay/src/sockets/discovery.rs
+++ b/crates/replay/src/sockets/discovery.rs
@@ -1,7 +1,7 @@
 //! Simulated service discovery on sockets: serves the full membership, and long-poll watches of its changes.
 
 use super::http::HttpConnection;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::check::Observation;
 use crate::scenario::Scenario;
 use serde_json::{Value, json};
@@ -66,7 +66,7 @@
 
 /// The host name of a worker in the platform's protocol.
 pub(crate) fn name(worker: u32) -> String {
-    format!("s-{:08x}", crate::worker::id(worker))
+    format!("s-{:08x}", crate::worker::worker_id(worker))
 }
 
 impl Membership {
@@ -122,16 +122,16 @@
 }
 
 /// Opens a listener for each scheduler, and returns their addresses.
-pub(crate) async fn open(environment: &Arc<Environment>) -> io::Result<Vec<SocketAddr>> {
+pub(crate) async fn listen(environment: &Arc<Environment>) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for scheduler in 0..environment.scenario.schedulers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         addresses.push(listener.local_addr()?);
         let environment = environment.clone();
-        environment.clone().start(async move {
+        environment.clone().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let environment = environment.clone();
-                environment.clone().start(async move {
+                environment.clone().spawn(async move {
                     let mut connection = HttpConnection::new(stream);
                     while serve(&environment, scheduler, &mut connection)
                         .await
@@ -168,10 +168,10 @@
     ))
     .await;
     let until = Instant::now() + Duration::from_millis(wait_ms);
-    while index > 0 && locked(&environment.membership).version <= index && Instant::now() < until {
+    while index > 0 && lock(&environment.membership).version <= index && Instant::now() < until {
         Timer::after(POLL_INTERVAL).await;
     }
-    let update = locked(&environment.membership).since(index, scheduler);
+    let update = lock(&environment.membership).since(index, scheduler);
     let body = update.body.to_string();
     let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/replay/src/sockets/faults.rs
+++ b/crates/replay/src/sockets/faults.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::Health;
 use super::workers::Fleet;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::scenario::{FaultKind, Micros};
 use smol::Timer;
 use std::sync::Arc;
@@ -31,9 +31,9 @@
             }
         }
         FaultKind::Slow { times } => {
-            set_pace(&fleet, &fault.workers, 1.0 / times);
+            set_speed_factor(&fleet, &fault.workers, 1.0 / times);
             Timer::at(environment.instant(ends_at)).await;
-            set_pace(&fleet, &fault.workers, 1.0);
+            set_speed_factor(&fleet, &fault.workers, 1.0);
         }
         FaultKind::HotThings { .. } => {} // part of the load
         FaultKind::Crash => {
@@ -59,9 +59,9 @@
     }
 }
 
-fn set_pace(fleet: &Fleet, workers: &[u32], pace: f64) {
+fn set_speed_factor(fleet: &Fleet, workers: &[u32], speed_factor: f64) {
     for worker in workers {
-        fleet.set_pace(*worker, pace);
+        fleet.set_speed_factor(*worker, speed_factor);
     }
 }
 
@@ -72,7 +72,7 @@
     ))
     .await;
     for worker in workers {
-        locked(&environment.membership).change(*worker, health, started_ms);
+        lock(&environment.membership).change(*worker, health, started_ms);
     }
 }
 
--- a/crates/replay/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -1,7 +1,7 @@
 //! Runs the real program as a child process under its resource limits.
 
 use super::http::HttpConnection;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::error::{FileSnafu, NoPortSnafu, NotReadySnafu, ReplayError};
 use serde_json::json;
 use smol::Timer;
@@ -32,21 +32,22 @@
 pub(crate) fn start(
     environment: &Environment,
     program: &Path,
-    me: u32,
+    index: u32,
     discovery: &SocketAddr,
 ) -> Result<Program, ReplayError> {
-    let dir = std::env::temp_dir().join(format!("indigofold-replay-{}-{me}", std::process::id()));
+    let dir =
+        std::env::temp_dir().join(format!("indigofold-replay-{}-{index}", std::process::id()));
     std::fs::create_dir_all(&dir).context(FileSnafu { path: &dir })?;
     // Binding to port 0 finds a free port; the listener closes here, and the program binds to the same port.
     let free = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .context(NoPortSnafu)?;
     let limits = &environment.scenario.limits;
-    let known = locked(&environment.membership).since(0, me).body;
-    let config = json!({"name": format!("n{me}"), "listen": free.to_string(), "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", environment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(me)),
+    let known = lock(&environment.membership).since(0, index).body;
+    let config = json!({"name": format!("n{index}"), "listen": free.to_string(), "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", environment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(index)),
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-        "known": known, "settings": environment.scenario.settings(me)});
+        "known": known, "settings": environment.scenario.settings(index)});
     let path = dir.join("config.json");
     std::fs::write(&path, config.to_string()).context(FileSnafu { path: &path })?;
     let log = dir.join("log");
@@ -72,7 +73,7 @@
 
 impl Program {
     /// Polls the readiness endpoint until it returns 200, for at most `within`.
-    pub(crate) async fn ready(&self, within: Duration) -> Result<(), ReplayError> {
+    pub(crate) async fn wait_until_ready(&self, within: Duration) -> Result<(), ReplayError> {
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Ok(stream) = TcpStream::connect(self.address).await {
@@ -93,7 +94,7 @@
     }
 
     /// The exit status; `None` while the process runs.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/replay/src/sockets/workers.rs
+++ b/crates/replay/src/sockets/workers.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::name;
 use super::http::{HttpConnection, Message};
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::check::Observation;
 use crate::scenario::Micros;
 use crate::worker::{Event, Job, Offer, RunId, Worker};
@@ -76,7 +76,7 @@
         let _ = self.wake.0.try_send(());
     }
 
-    async fn until_ended(&self, incarnation: u64, check_interval: Duration) {
+    async fn wait_until_ended(&self, incarnation: u64, check_interval: Duration) {
         while self.incarnation.load(Ordering::SeqCst) == incarnation {
             Timer::after(check_interval).await;
         }
@@ -89,26 +89,26 @@
     processes: Vec<Process>,
     next_run_id: AtomicU64,
     /// Queues of callbacks, one for each scheduler; unset until the addresses of the schedulers are known.
-    updates: OnceLock<Vec<Sender<String>>>,
+    callback_queues: OnceLock<Vec<Sender<String>>>,
 }
 
 /// Opens the listeners of all workers, and spawns the tasks that step them.
-pub(crate) async fn open(environment: &Arc<Environment>) -> io::Result<Arc<Fleet>> {
+pub(crate) async fn start(environment: &Arc<Environment>) -> io::Result<Arc<Fleet>> {
     let scenario = &environment.scenario;
     let process = |n| {
         let kind = &scenario.kinds[scenario.kind_of(n)];
         let worker = Worker::new(kind, scenario.speed_of(n));
-        Process::new(worker.serving(scenario.machines.order, None))
+        Process::new(worker.with_order_and_cache(scenario.machines.order, None))
     };
     let fleet = Arc::new(Fleet {
         environment: environment.clone(),
         processes: (0..scenario.workers()).map(process).collect(),
         next_run_id: 1.into(),
-        updates: OnceLock::new(),
+        callback_queues: OnceLock::new(),
     });
     for worker in 0..scenario.workers() {
         fleet.listen(worker).await?;
-        environment.start(fleet.clone().run(worker));
+        environment.spawn(fleet.clone().run(worker));
     }
     Ok(fleet)
 }
@@ -125,17 +125,17 @@
             let (sender, updates) = unbounded::<String>();
             for _ in 0..CALLBACK_CONNECTIONS {
                 let callbacks = send_callbacks(scheduler, updates.clone());
-                self.environment.start(callbacks);
+                self.environment.spawn(callbacks);
             }
             senders.push(sender);
         }
-        let _ = self.updates.set(senders);
+        let _ = self.callback_queues.set(senders);
     }
 
     /// Opens a listener for each scheduler, at the addresses of the previous process if there was one.
     async fn listen(self: &Arc<Self>, worker: u32) -> io::Result<()> {
         let process = self.process(worker);
-        let earlier = locked(&process.addresses).clone();
+        let earlier = lock(&process.addresses).clone();
         let incarnation = process.incarnation.load(Ordering::SeqCst);
         let mut addresses = Vec::new();
         for scheduler in 0..self.environment.scenario.schedulers {
@@ -146,10 +146,10 @@
             let accept = self
                 .clone()
                 .accept(worker, scheduler, incarnation, listener);
-            self.environment.start(accept);
+            self.environment.spawn(accept);
         }
-        locked(&self.environment.membership).set_addresses(worker, addresses.clone());
-        *locked(&process.addresses) = addresses;
+        lock(&self.environment.membership).set_addresses(worker, addresses.clone());
+        *lock(&process.addresses) = addresses;
         Ok(())
     }
 
@@ -165,7 +165,7 @@
             let accepted = async { listener.accept().await.ok() };
             let ended = async {
                 self.process(worker)
-                    .until_ended(incarnation, LISTENER_CHECK_INTERVAL)
+                    .wait_until_ended(incarnation, LISTENER_CHECK_INTERVAL)
                     .await;
                 None
             };
@@ -176,7 +176,7 @@
             let serve = self
                 .clone()
                 .serve_connection(worker, scheduler, incarnation, connection);
-            self.environment.start(serve);
+            self.environment.spawn(serve);
         }
     }
 
@@ -196,7 +196,7 @@
         };
         let ended = self
             .process(worker)
-            .until_ended(incarnation, CONNECTION_CHECK_INTERVAL);
+            .wait_until_ended(incarnation, CONNECTION_CHECK_INTERVAL);
         smol::future::or(serve, ended).await;
     }
 
@@ -207,17 +207,17 @@
         connection: &mut HttpConnection,
     ) -> io::Result<()> {
         connection.wait_readable().await?;
-        let begun = self.environment.now();
+        let received_at = self.environment.now();
         let message = connection.read(false).await?;
         self.wait_for_stall(worker).await;
-        let answer = self.answer(worker, scheduler, &message, begun);
+        let answer = self.answer(worker, scheduler, &message, received_at);
         connection.write(answer.as_bytes()).await
     }
 
     /// Waits until the worker is no longer stalled: a stalled process sends no responses.
     async fn wait_for_stall(&self, worker: u32) {
         loop {
-            let until = locked(&self.process(worker).worker).stalled_until();
+            let until = lock(&self.process(worker).worker).stalled_until();
             if self.environment.now() >= until {
                 return;
             }
@@ -226,7 +226,13 @@
     }
 
     /// The response to a request whose first byte arrived at `received_at`.
-    fn answer(&self, worker: u32, scheduler: u32, request: &Message, begun: Micros) -> String {
+    fn answer(
+        &self,
+        worker: u32,
+        scheduler: u32,
+        request: &Message,
+        received_at: Micros,
+    ) -> String {
         let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         match (request.method.as_str(), request.target.as_str()) {
             ("GET", "/-/healthy" | "/-/load") => self.answer_probe(worker),
@@ -234,13 +240,13 @@
             ("POST", _) => {
                 let trace = request.header("x-trace-id").unwrap_or("");
                 let job = u64::from_str_radix(trace, 16).ok();
-                let sent_jobs = locked(&self.environment.sent_jobs);
+                let sent_jobs = lock(&self.environment.sent_jobs);
                 let sent = job.and_then(|job| Some((job, sent_jobs.get(&job).copied()?)));
                 drop(sent_jobs);
                 let Some((job, sent)) = sent else {
                     return empty("404 Not Found");
                 };
-                match self.offer(worker, scheduler, job, sent, begun) {
+                match self.offer(worker, scheduler, job, sent, received_at) {
                     Offer::Accepted => empty("202 Accepted"),
                     Offer::Full => empty("503 Service Unavailable\r\nX-Never-Ran: 1"),
                 }
@@ -250,8 +256,8 @@
     }
 
     fn answer_probe(&self, worker: u32) -> String {
-        locked(&self.environment.service).record_probe();
-        let report = locked(&self.process(worker).worker).report();
+        lock(&self.environment.service).record_probe();
+        let report = lock(&self.process(worker).worker).report();
         let body = format!(
             "{{\"queue\":{},\"inflight\":{},\"x0\":{}}}",
             report.queue, report.inflight, report.free
@@ -260,7 +266,14 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
     }
 
-    fn offer(&self, worker: u32, scheduler: u32, job: u64, sent: SentJob, begun: Micros) -> Offer {
+    fn offer(
+        &self,
+        worker: u32,
+        scheduler: u32,
+        job: u64,
+        sent: SentJob,
+        received_at: Micros,
+    ) -> Offer {
         let (process, now) = (self.process(worker), self.environment.now());
         let run_id = self.next_run_id.fetch_add(1, Ordering::Relaxed);
         let offered = Job {
@@ -270,15 +283,15 @@
             ..Job::default()
         };
         let total_work = offered.total_work();
-        self.record_attempt(worker, scheduler, job, total_work, begun);
+        self.record_attempt(worker, scheduler, job, total_work, received_at);
         // The attempt is stored before the offer, as the job may start at once.
         let attempt = AcceptedAttempt {
             job,
             scheduler,
             total_work,
         };
-        locked(&process.attempts).insert(run_id, attempt);
-        let offer = locked(&process.worker).offer(now, offered);
+        lock(&process.attempts).insert(run_id, attempt);
+        let offer = lock(&process.worker).offer(now, offered);
         match offer {
             Offer::Accepted => {
                 self.environment.observe(Observation::AttemptAccepted {
@@ -288,23 +301,30 @@
                 });
                 process.wake();
             }
-            Offer::Full => _ = locked(&process.attempts).remove(&run_id),
+            Offer::Full => _ = lock(&process.attempts).remove(&run_id),
         }
         offer
     }
 
-    fn record_attempt(&self, worker: u32, scheduler: u32, job: u64, work: Micros, begun: Micros) {
+    fn record_attempt(
+        &self,
+        worker: u32,
+        scheduler: u32,
+        job: u64,
+        work: Micros,
+        received_at: Micros,
+    ) {
         let scenario = &self.environment.scenario;
         let crosses_zones = scenario.zone_of(scheduler) != scenario.zone_of(worker);
-        locked(&self.environment.service).record_attempt(begun, crosses_zones);
+        lock(&self.environment.service).record_attempt(received_at, crosses_zones);
         let observation = Observation::AttemptSent {
             job,
             scheduler,
             worker,
-            at: begun,
+            at: received_at,
             work,
         };
-        self.environment.observe_at(begun, observation);
+        self.environment.observe_at(received_at, observation);
     }
 
     /// Steps a worker whenever an event is due or the task is woken, and reports the events.
@@ -312,7 +332,7 @@
         let process = self.process(worker);
         let mut events = Vec::new();
         loop {
-            let due = locked(&process.worker).due();
+            let due = lock(&process.worker).due();
             let woken = async { process.wake.1.recv().await.is_ok() };
             let slept = async {
                 match due {
@@ -326,7 +346,7 @@
             }
             let now = self.environment.now();
             {
-                let mut model = locked(&process.worker);
+                let mut model = lock(&process.worker);
                 model.step(now);
                 model.take_events(&mut events);
             }
@@ -341,10 +361,10 @@
         let attempts = &self.process(worker).attempts;
         let attempt = match event {
             Event::Started(run_id) | Event::Progress(run_id, _) => {
-                locked(attempts).get(&run_id).copied()
+                lock(attempts).get(&run_id).copied()
             }
             Event::Done(run_id) | Event::Returned(run_id) | Event::Lost(run_id) => {
-                locked(attempts).remove(&run_id)
+                lock(attempts).remove(&run_id)
             }
         };
         let Some(attempt) = attempt else { return };
@@ -358,7 +378,7 @@
             "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let senders = self.updates.get();
+        let senders = self.callback_queues.get();
         if let Some(sender) = senders.and_then(|all| all.get(attempt.scheduler as usize)) {
             let _ = sender.try_send(call);
         }
@@ -375,7 +395,7 @@
         let job = attempt.job;
         match event {
             Event::Started(_) => {
-                locked(&self.environment.service).record_start(now, worker);
+                lock(&self.environment.service).record_start(now, worker);
                 "\"started\"".into()
             }
             Event::Progress(_, thousandths) => {
@@ -383,7 +403,7 @@
                 format!("\"running\",\"share\":{fraction:.3}")
             }
             Event::Done(_) => {
-                locked(&self.environment.service).record_completion(attempt.total_work);
+                lock(&self.environment.service).record_completion(attempt.total_work);
                 self.environment
                     .observe(Observation::ResultProduced { job });
                 format!("\"done\",\"result\":\"made {job:016x}\"")
@@ -399,19 +419,19 @@
 
     /// Stalls a worker from now until `until`.
     pub(crate) fn stall(&self, worker: u32, until: Micros) {
-        locked(&self.process(worker).worker).stall(self.environment.now(), until);
+        lock(&self.process(worker).worker).stall(self.environment.now(), until);
         self.process(worker).wake();
     }
 
     /// Sets the factor on the speed of a worker.
-    pub(crate) fn set_pace(&self, worker: u32, pace: f64) {
-        locked(&self.process(worker).worker).set_pace(self.environment.now(), pace);
+    pub(crate) fn set_speed_factor(&self, worker: u32, speed_factor: f64) {
+        lock(&self.process(worker).worker).set_speed_factor(self.environment.now(), speed_factor);
         self.process(worker).wake();
     }
 
     /// Drains a worker, and reports the jobs that it returns.
     pub(crate) fn drain(&self, worker: u32) {
-        locked(&self.process(worker).worker).drain();
+        lock(&self.process(worker).worker).drain();
         self.process(worker).wake();
         self.report_events(worker);
     }
@@ -420,13 +440,13 @@
     pub(crate) fn crash(&self, worker: u32) {
         let process = self.process(worker);
         process.incarnation.fetch_add(1, Ordering::SeqCst);
-        locked(&process.worker).crash();
+        lock(&process.worker).crash();
         self.report_events(worker);
     }
 
     fn report_events(&self, worker: u32) {
         let mut events = Vec::new();
-        locked(&self.process(worker).worker).take_events(&mut events);
+        lock(&self.process(worker).worker).take_events(&mut events);
         let now = self.environment.now();
         for event in events {
             self.report(worker, now, event);
@@ -435,11 +455,11 @@
 
     /// Starts a new process for a worker, after crashing one that still runs.
     pub(crate) async fn restart(self: &Arc<Self>, worker: u32) {
-        if locked(&self.process(worker).worker).up() {
+        if lock(&self.process(worker).worker).is_up() {
             self.crash(worker);
         }
         Timer::after(LISTENER_CLOSE_TIME).await;
-        locked(&self.process(worker).worker).restart(self.environment.now());
+        lock(&self.process(worker).worker).restart(self.environment.now());
         for _ in 0..LISTEN_ATTEMPTS {
             match self.listen(worker).await {
                 Ok(()) => break,
@@ -447,14 +467,14 @@
             }
         }
         let warm_up = self.clone().observe_warm_up(worker);
-        self.environment.start(warm_up);
+        self.environment.spawn(warm_up);
     }
 
     /// Reports the warm-up of a worker to the checkers until it is warm or its process has ended.
     async fn observe_warm_up(self: Arc<Self>, worker: u32) {
         loop {
             let at = self.environment.now();
-            let capacity = locked(&self.process(worker).worker).warming_capacity(at);
+            let capacity = lock(&self.process(worker).worker).warming_capacity(at);
             let Some(capacity) = capacity else {
                 return self.environment.observe(Observation::WarmedUp { worker });
             };
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -34,8 +34,8 @@
 /// Maximum number of threads of a survey.
 const MAX_THREADS: usize = 256;
 
-/// Student's 97.5% point for 1 to 15 degrees of freedom.
-const STUDENT: [f64; 15] = [
+/// The 97.5% quantile of Student's t distribution for 1 to 15 degrees of freedom.
+const STUDENT_T_975: [f64; 15] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131,
 ];
@@ -55,7 +55,7 @@
 
 /// The results of one policy on one deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Played {
+pub struct PolicyResult {
     /// The service metric of each run.
     #[serde(rename = "figures")]
     pub metrics: Vec<f64>,
@@ -65,7 +65,7 @@
     pub shares: [f64; 6],
 }
 
-impl Played {
+impl PolicyResult {
     /// The mean service metric over all runs; 0 without runs.
     pub fn mean(&self) -> f64 {
         self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
@@ -80,47 +80,48 @@
     /// The traits of the deployment, by which the summary groups.
     pub traits: Vec<String>,
     /// The results by policy.
-    pub played: BTreeMap<Policy, Played>,
+    pub played: BTreeMap<Policy, PolicyResult>,
 }
 
 /// The module compared with the best baseline policy that does not see the true state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Against {
+pub struct BestComparison {
     /// The best baseline policy.
     pub best: Policy,
-    /// Module less that one.
-    pub by: f64,
+    /// The mean service metric of the module minus that of the best policy.
+    #[serde(rename = "by")]
+    pub difference: f64,
     /// The 95% confidence interval of the difference.
     pub interval: [f64; 2],
 }
 
-/// Mean and 95% interval of paired differences.
-fn paired(a: &[f64], b: &[f64]) -> (f64, [f64; 2]) {
-    let by: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
-    let n = by.len().max(1) as f64;
-    let mean = by.iter().sum::<f64>() / n;
-    let spread = by.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    let student = STUDENT
-        .get(by.len().saturating_sub(2))
+/// Mean and 95% confidence interval of the paired differences `a - b`.
+fn paired_difference(a: &[f64], b: &[f64]) -> (f64, [f64; 2]) {
+    let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
+    let n = differences.len().max(1) as f64;
+    let mean = differences.iter().sum::<f64>() / n;
+    let variance = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
+    let quantile = STUDENT_T_975
+        .get(differences.len().saturating_sub(2))
         .copied()
         .unwrap_or(1.96);
-    let half = student * (spread / n).sqrt();
+    let half = quantile * (variance / n).sqrt();
     (mean, [mean - half, mean + half])
 }
 
 impl Row {
     /// Compares the module with the best baseline policy; `None` if the module or every such policy is missing.
-    pub fn against(&self) -> Option<Against> {
+    pub fn compare_with_best(&self) -> Option<BestComparison> {
         let module = self.played.get(&Policy::Module)?;
-        let plain = self
+        let baselines = self
             .played
             .iter()
             .filter(|(p, _)| **p != Policy::Module && !p.knows_all());
-        let (best, of) = plain.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
-        let (by, interval) = paired(&module.metrics, &of.metrics);
-        Some(Against {
+        let (best, best_result) = baselines.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
+        let (difference, interval) = paired_difference(&module.metrics, &best_result.metrics);
+        Some(BestComparison {
             best: *best,
-            by,
+            difference,
             interval,
         })
     }
@@ -135,15 +136,15 @@
     simulation.play(Made::new(scenario, seed)?, |_| {}, |_| {})
 }
 
-/// Plays one deployment.
+/// Plays all policies of the plan on one deployment.
 ///
 /// # Errors
 /// The scenario cannot be played.
-pub fn row(plan: &Plan, number: u64) -> Result<Row, ReplayError> {
+pub fn play_deployment(plan: &Plan, number: u64) -> Result<Row, ReplayError> {
     let scenario = draw::deployment(plan.seed, number);
     let mut played = BTreeMap::new();
     for policy in &plan.policies {
-        let mut of = Played::default();
+        let mut result = PolicyResult::default();
         let mut sums = [0.0; 6];
         for n in 0..plan.runs {
             let run = play(
@@ -156,9 +157,9 @@
                 number,
                 policy: policy.name(),
             })?;
-            of.metrics.push(run.outcome.service_metric);
+            result.metrics.push(run.outcome.service_metric);
             for (rule, count) in &run.verdict.breaches {
-                *of.breaches.entry(format!("{rule:?}")).or_default() += count;
+                *result.breaches.entry(format!("{rule:?}")).or_default() += count;
             }
             let jobs = run.outcome.counts[0].max(1) as f64;
             let parts = run.outcome.ends.map(|e| e as f64 / jobs);
@@ -175,8 +176,8 @@
                 .zip(all)
                 .for_each(|(s, a)| *s += a / f64::from(plan.runs));
         }
-        of.shares = sums;
-        played.insert(*policy, of);
+        result.shares = sums;
+        played.insert(*policy, result);
     }
     Ok(Row {
         number,
@@ -265,7 +266,7 @@
         for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(|| {
                 while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let row = row(plan, *number);
+                    let row = play_deployment(plan, *number);
                     if !results_lock().add(row) {
                         next.store(missing.len(), Ordering::Relaxed);
                         return;
@@ -352,37 +353,41 @@
     pub worst: Vec<u64>,
 }
 
-/// Summarises rows; `worst` deployments are named.
-pub fn summary(rows: &[Row], worst: usize) -> Summary {
+/// Summarises rows; `worst` is the maximum number of deployments listed in [`Summary::worst`].
+pub fn summarise(rows: &[Row], worst: usize) -> Summary {
     let mut s = Summary {
         count: rows.len(),
         ..Summary::default()
     };
-    let mut by: Vec<(f64, u64)> = Vec::new();
+    let mut differences: Vec<(f64, u64)> = Vec::new();
     for row in rows {
-        for (policy, of) in &row.played {
-            *s.broke.entry(*policy).or_default() += usize::from(!of.breaches.is_empty());
-            *s.means.entry(*policy).or_default() += of.mean() / rows.len() as f64;
+        for (policy, result) in &row.played {
+            *s.broke.entry(*policy).or_default() += usize::from(!result.breaches.is_empty());
+            *s.means.entry(*policy).or_default() += result.mean() / rows.len() as f64;
         }
-        let Some(against) = row.against() else {
+        let Some(comparison) = row.compare_with_best() else {
             continue;
         };
-        s.ahead[0] += usize::from(against.by > 0.0);
-        s.ahead[1] += usize::from(against.interval[0] > 0.0);
-        s.behind[0] += usize::from(against.by < 0.0);
-        s.behind[1] += usize::from(against.interval[1] < 0.0);
-        by.push((against.by, row.number));
+        s.ahead[0] += usize::from(comparison.difference > 0.0);
+        s.ahead[1] += usize::from(comparison.interval[0] > 0.0);
+        s.behind[0] += usize::from(comparison.difference < 0.0);
+        s.behind[1] += usize::from(comparison.interval[1] < 0.0);
+        differences.push((comparison.difference, row.number));
         for name in &row.traits {
-            let of = s.traits.entry(name.clone()).or_default();
-            (of.0, of.1) = (of.0 + 1, of.1 + against.by);
-            of.2 += usize::from(against.by < 0.0);
+            let group = s.traits.entry(name.clone()).or_default();
+            (group.0, group.1) = (group.0 + 1, group.1 + comparison.difference);
+            group.2 += usize::from(comparison.difference < 0.0);
         }
     }
     s.traits
         .values_mut()
-        .for_each(|of| of.1 /= of.0.max(1) as f64);
-    by.sort_by(|a, b| a.0.total_cmp(&b.0));
-    s.worst = by.iter().take(worst).map(|(_, number)| *number).collect();
+        .for_each(|group| group.1 /= group.0.max(1) as f64);
+    differences.sort_by(|a, b| a.0.total_cmp(&b.0));
+    s.worst = differences
+        .iter()
+        .take(worst)
+        .map(|(_, number)| *number)
+        .collect();
     s
 }
 
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -22,8 +22,8 @@
     low + (unit(rng) * f64::from(high - low + 1)) as u32
 }
 
-fn chance(rng: &mut Pcg64Mcg, of: f64) -> bool {
-    unit(rng) < of
+fn chance(rng: &mut Pcg64Mcg, probability: f64) -> bool {
+    unit(rng) < probability
 }
 
 /// Draws `n` shares that sum to 1.
@@ -161,7 +161,7 @@
 /// Draws the deployment with this number; the same seed and number always give the same deployment.
 #[allow(
     clippy::too_many_lines,
-    reason = "one draw after the other: their order is part of what a seed means"
+    reason = "a flat sequence of draws, whose order determines the deployment of a seed"
 )]
 pub fn deployment(seed: u64, number: u64) -> Scenario {
     // A change of the order of draws changes the survey, like a change of the ranges: see [`super::VERSION`].
--- a/crates/replay/src/survey/page.rs
+++ b/crates/replay/src/survey/page.rs
@@ -10,10 +10,10 @@
 const PAGE: &str = include_str!("../survey.html");
 const SIZE: (u32, u32) = (960, 300);
 
-type Bad = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 /// Renders a survey as text: the summary, the groups by trait, and the worst deployments.
-pub fn text(rows: &[Row], s: &Summary) -> String {
+pub fn render_text(rows: &[Row], s: &Summary) -> String {
     let mut out = String::new();
     write_policies(&mut out, s);
     write_traits(&mut out, s);
@@ -61,14 +61,16 @@
 }
 
 fn write_row(out: &mut String, row: &Row) {
-    let Some(against) = row.against() else { return };
-    let [low, high] = against.interval;
+    let Some(comparison) = row.compare_with_best() else {
+        return;
+    };
+    let [low, high] = comparison.interval;
     let _ = writeln!(
         out,
         "{:5} {:+.4} ({low:+.4} to {high:+.4}) against {}: module {:.4}; {}",
         row.number,
-        against.by,
-        against.best.name(),
+        comparison.difference,
+        comparison.best.name(),
         row.played[&Policy::Module].mean(),
         row.traits.join(", ")
     );
@@ -78,19 +80,19 @@
 ///
 /// # Errors
 /// A plot cannot be drawn, or the template cannot be rendered.
-pub fn page(title: &str, rows: &[Row], s: &Summary) -> Result<String, Bad> {
+pub fn render_html(title: &str, rows: &[Row], s: &Summary) -> Result<String, BoxError> {
     let mut sorted: Vec<_> = rows
         .iter()
-        .filter_map(|r| Some((r.number, r.against()?)))
+        .filter_map(|r| Some((r.number, r.compare_with_best()?)))
         .collect();
-    sorted.sort_by(|a, b| a.1.by.total_cmp(&b.1.by));
-    let differences = differences(
+    sorted.sort_by(|a, b| a.1.difference.total_cmp(&b.1.difference));
+    let differences = plot_differences(
         &sorted
             .iter()
-            .map(|(_, a)| (a.by, a.interval))
+            .map(|(_, a)| (a.difference, a.interval))
             .collect::<Vec<_>>(),
     )?;
-    let service_metric = |r: &Row, of| r.played.get(&of).map(super::Played::mean);
+    let service_metric = |r: &Row, policy| r.played.get(&policy).map(super::PolicyResult::mean);
     let points: Vec<(f64, f64)> = rows
         .iter()
         .filter_map(|r| {
@@ -100,15 +102,15 @@
             ))
         })
         .collect();
-    let scatter = scatter(&points)?;
+    let scatter = plot_scatter(&points)?;
     let worst: Vec<_> = worst_rows(rows, s)
         .map(|r| {
             let played: Vec<_> = r
                 .played
                 .iter()
-                .map(|(p, of)| json!({"name": p.name(), "mean": of.mean(), "shares": of.shares, "breaches": of.breaches}))
+                .map(|(policy, result)| json!({"name": policy.name(), "mean": result.mean(), "shares": result.shares, "breaches": result.breaches}))
                 .collect();
-            json!({"number": r.number, "traits": r.traits, "against": r.against(), "played": played})
+            json!({"number": r.number, "traits": r.traits, "against": r.compare_with_best(), "played": played})
         })
         .collect();
     let means: Vec<_> = s
@@ -129,41 +131,41 @@
 ///
 /// # Errors
 /// The scenario cannot be serialised.
-pub fn scenario(seed: u64, number: u64) -> Result<String, Bad> {
+pub fn scenario_json(seed: u64, number: u64) -> Result<String, BoxError> {
     Ok(serde_json::to_string_pretty(&draw::deployment(
         seed, number,
     ))?)
 }
 
 /// Plots the differences in ascending order, each with its interval, as SVG.
-fn differences(of: &[(f64, [f64; 2])]) -> Result<String, Bad> {
+fn plot_differences(values: &[(f64, [f64; 2])]) -> Result<String, BoxError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let most = of.iter().map(|d| d.0.abs()).fold(0.05, f64::max) * 1.2;
+        let limit = values.iter().map(|d| d.0.abs()).fold(0.05, f64::max) * 1.2;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..of.len().max(1) as f64, -most..most)?;
+            .build_cartesian_2d(0.0..values.len().max(1) as f64, -limit..limit)?;
         chart
             .configure_mesh()
             .x_desc("deployments, in order")
             .light_line_style(RGBColor(238, 238, 238))
             .draw()?;
-        let clip = |y: f64| y.clamp(-most, most);
-        chart.draw_series(of.iter().enumerate().map(|(n, (_, [low, high]))| {
+        let clip = |y: f64| y.clamp(-limit, limit);
+        chart.draw_series(values.iter().enumerate().map(|(n, (_, [low, high]))| {
             let x = n as f64 + 0.5;
             PathElement::new([(x, clip(*low)), (x, clip(*high))], RGBColor(190, 205, 225))
         }))?;
-        chart.draw_series(of.iter().enumerate().map(|(n, (by, _))| {
-            let colour = if *by < 0.0 {
+        chart.draw_series(values.iter().enumerate().map(|(n, (difference, _))| {
+            let colour = if *difference < 0.0 {
                 RGBColor(200, 90, 20)
             } else {
                 RGBColor(31, 90, 150)
             };
-            Circle::new((n as f64 + 0.5, *by), 2, colour.filled())
+            Circle::new((n as f64 + 0.5, *difference), 2, colour.filled())
         }))?;
         area.present()?;
     }
@@ -171,7 +173,7 @@
 }
 
 /// Plots the service metric of the module over that of the all-knowing policy, as SVG.
-fn scatter(points: &[(f64, f64)]) -> Result<String, Bad> {
+fn plot_scatter(points: &[(f64, f64)]) -> Result<String, BoxError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (420, 420)).into_drawing_area();
--- a/crates/replay/src/survey_command.rs
+++ b/crates/replay/src/survey_command.rs
@@ -44,7 +44,7 @@
 pub(crate) fn call(args: &Survey, json: bool) -> Result<(), Bad> {
     let mut out = std::io::stdout();
     if let Some(number) = args.scenario {
-        let _ = writeln!(out, "{}", page::scenario(args.seed, number)?);
+        let _ = writeln!(out, "{}", page::scenario_json(args.seed, number)?);
         return Ok(());
     }
     let mut policies = match args.policy.is_empty() {
@@ -72,15 +72,15 @@
         },
     )?;
     bar.finish_and_clear();
-    let summary = survey::summary(&rows, args.worst);
+    let summary = survey::summarise(&rows, args.worst);
     if let Some(path) = &args.report {
         let title = format!("Survey {} of {} deployments", args.seed, rows.len());
-        std::fs::write(path, page::page(&title, &rows, &summary)?)
+        std::fs::write(path, page::render_html(&title, &rows, &summary)?)
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
     let _ = match json {
         true => writeln!(out, "{}", serde_json::to_string(&summary)?),
-        false => write!(out, "{}", page::text(&rows, &summary)),
+        false => write!(out, "{}", page::render_text(&rows, &summary)),
     };
     Ok(())
 }
--- a/crates/replay/src/virtual_time.rs
+++ b/crates/replay/src/virtual_time.rs
@@ -10,7 +10,7 @@
 use crate::sampling::{draw, unit};
 use crate::scenario::{Micros, Scenario};
 use crate::service::{Outcome, Service};
-use crate::worker::{self, RunId, Worker, id};
+use crate::worker::{self, RunId, Worker, worker_id};
 use indigofold::api::{Scope, WorkerId};
 use indigofold_core::engine::Engine;
 use indigofold_core::metrics::Metrics;
@@ -114,7 +114,7 @@
     seed: u64,
     retries: Retries,
     /// Whether the policy sees the true state of all workers.
-    knows_all: bool,
+    uses_true_state: bool,
     now: Micros,
     queue: EventQueue,
     handled_events: u64,
@@ -177,7 +177,7 @@
             scenario,
             seed,
             retries,
-            knows_all: policy.knows_all(),
+            uses_true_state: policy.knows_all(),
             now: scenario.from(),
             queue: EventQueue::default(),
             handled_events: 0,
@@ -185,7 +185,7 @@
             network_rng,
             zone_turns: vec![0; scenario.zones.len()],
             scheduler_messages: BTreeMap::new(),
-            worker_numbers: (0..scenario.workers()).map(|w| (id(w), w)).collect(),
+            worker_numbers: (0..scenario.workers()).map(|w| (worker_id(w), w)).collect(),
             worker_timers: vec![None; workers.len()],
             load_reports: vec![(0, worker::Report::default()); workers.len()],
             discovered: vec![DiscoveredWorker::ACTIVE; workers.len()],
@@ -245,7 +245,7 @@
     }
 
     /// Plays all arrivals, until every job that they start has ended. `log` receives each request once it has ended;
-    /// `progress` receives the number of an arrival every [`PROGRESS_INTERVAL`] arrivals.
+    /// `progress` receives the number of an arrival every `PROGRESS_INTERVAL` arrivals.
     ///
     /// # Errors
     /// An arrival cannot be read or generated.
@@ -304,7 +304,7 @@
     let worker = |n| {
         let cache = things.map(|t| ObjectCache::new(store.clone(), t.kept as usize));
         let kind = &scenario.kinds[scenario.kind_of(n)];
-        Worker::new(kind, scenario.speed_of(n)).serving(scenario.machines.order, cache)
+        Worker::new(kind, scenario.speed_of(n)).with_order_and_cache(scenario.machines.order, cache)
     };
     (0..scenario.workers()).map(worker).collect()
 }
--- a/crates/replay/src/virtual_time/discovery.rs
+++ b/crates/replay/src/virtual_time/discovery.rs
@@ -4,7 +4,7 @@
 use super::{Simulation, WATCH_TIMEOUT};
 use crate::check::Observation;
 use crate::scenario::Micros;
-use crate::worker::id;
+use crate::worker::worker_id;
 use indigofold::api::{Entry, Scope, WorkerState};
 use indigofold_core::CoreInput;
 
@@ -35,7 +35,7 @@
     fn membership_entry(&self, worker: u32) -> Entry {
         let known = self.discovered[worker as usize];
         Entry {
-            worker: id(worker),
+            worker: worker_id(worker),
             zone: self.scenario.zone_of(worker),
             kind: self.scenario.kind_of(worker) as u32,
             cell: 0,
--- a/crates/replay/src/virtual_time/faults.rs
+++ b/crates/replay/src/virtual_time/faults.rs
@@ -21,7 +21,7 @@
             }
             FaultKind::Slow { times } => {
                 for worker in &fault.workers {
-                    self.set_worker_pace(*worker, 1.0 / times);
+                    self.set_worker_speed_factor(*worker, 1.0 / times);
                 }
             }
             FaultKind::HotThings { .. } => return, // part of the load
@@ -46,7 +46,7 @@
         let fault = &self.scenario.faults[number as usize];
         for worker in &fault.workers {
             if matches!(fault.what, FaultKind::Slow { .. }) {
-                self.set_worker_pace(*worker, 1.0);
+                self.set_worker_speed_factor(*worker, 1.0);
             } else {
                 self.restart_worker(*worker);
             }
@@ -73,8 +73,8 @@
         self.set_worker_timer(worker);
     }
 
-    fn set_worker_pace(&mut self, worker: u32, pace: f64) {
-        self.workers[worker as usize].set_pace(self.now, pace);
+    fn set_worker_speed_factor(&mut self, worker: u32, speed_factor: f64) {
+        self.workers[worker as usize].set_speed_factor(self.now, speed_factor);
         self.set_worker_timer(worker);
     }
 
@@ -87,7 +87,7 @@
     }
 
     fn restart_worker(&mut self, worker: u32) {
-        if self.workers[worker as usize].up() {
+        if self.workers[worker as usize].is_up() {
             // A draining worker loses the jobs that still run when its process ends.
             self.workers[worker as usize].crash();
             self.step_worker(worker);
--- a/crates/replay/src/virtual_time/schedulers.rs
+++ b/crates/replay/src/virtual_time/schedulers.rs
@@ -6,7 +6,7 @@
 use crate::check::Observation;
 use crate::client::ClientResponse;
 use crate::scenario::Micros;
-use crate::worker::{self, RunId, id};
+use crate::worker::{self, RunId, worker_id};
 use indigofold::api::{Load, Request, Status, WorkerId};
 use indigofold::config::subject;
 use indigofold_core::engine::Engine;
@@ -164,7 +164,7 @@
 
     /// Passes an input to a scheduler, and carries out the resulting actions.
     pub(super) fn notify_scheduler(&mut self, scheduler: u32, input: CoreInput) {
-        let best = if self.knows_all {
+        let best = if self.uses_true_state {
             self.best_worker_for(&input)
         } else {
             None
@@ -195,11 +195,11 @@
         let end = |w: usize| {
             let worker = &self.workers[w];
             let queued = in_transit[w] / worker.capacity(self.now);
-            Some(worker.would_end(self.now, &work_item)? + queued)
+            Some(worker.completion_estimate(self.now, &work_item)? + queued)
         };
         let ends = (0..self.workers.len()).filter_map(|w| Some((end(w)?, w)));
         ends.min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, w)| id(w as u32))
+            .map(|(_, w)| worker_id(w as u32))
     }
 
     /// The job in the form that workers receive, with run id 0.
@@ -207,7 +207,7 @@
         let client_job = self.requests.get(&job)?.client_job;
         let arrival = &self.client_jobs[client_job as usize].arrival;
         let things = self.scenario.machines.things.as_ref();
-        let thing = things
+        let object = things
             .and_then(|_| subject(&arrival.subject))
             .map(|s| (s, self.fetch_time));
         Some(worker::Job {
@@ -215,7 +215,7 @@
             work: arrival.work,
             slots: arrival.slots,
             priority: self.scenario.classes[arrival.class as usize].priority,
-            thing,
+            object,
         })
     }
 
@@ -328,7 +328,7 @@
         } else {
             Status::Timeout
         };
-        let input = CoreInput::Probed(id(worker), status, answered.then_some(load));
+        let input = CoreInput::Probed(worker_id(worker), status, answered.then_some(load));
         self.notify_scheduler(scheduler, input);
     }
 
--- a/crates/replay/src/virtual_time/workers.rs
+++ b/crates/replay/src/virtual_time/workers.rs
@@ -18,7 +18,7 @@
         let (scheduler, number) = (run.scheduler, run.worker);
         let (job, work_item) = (run.attempt.job, run.work_item);
         let worker = &mut self.workers[number as usize];
-        if !worker.up() {
+        if !worker.is_up() {
             let status = Status::ConnectFailed;
             let delay = self.delay_to_worker(scheduler, number).min(CONNECT_TIMEOUT);
             let event = Event::AttemptRejected {
@@ -27,7 +27,7 @@
             };
             return self.schedule(self.now + delay, event);
         }
-        if worker.stalled(self.now) {
+        if worker.is_stalled(self.now) {
             // The connection is accepted, but the worker does not read from it until the stall is over.
             let stalled_until = worker.stalled_until();
             return self.schedule(stalled_until, Event::AttemptAtWorker(run_id));
@@ -117,7 +117,7 @@
 
     pub(super) fn handle_probe(&mut self, scheduler: u32, number: u32) {
         let worker = &self.workers[number as usize];
-        let answered = worker.up() && !worker.stalled(self.now);
+        let answered = worker.is_up() && !worker.is_stalled(self.now);
         let delay = if answered {
             self.delay_to_worker(scheduler, number)
         } else {
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -14,7 +14,7 @@
 pub type RunId = u64;
 
 /// The id by which schedulers know the worker with this index. The mapping is arbitrary, but all parts must use the same.
-pub fn id(worker: u32) -> u32 {
+pub fn worker_id(worker: u32) -> u32 {
     worker.wrapping_mul(0x9e37_79b1) ^ 0x5f
 }
 
@@ -67,7 +67,7 @@
     /// Jobs with a higher priority start first under [`Order::Priority`].
     pub priority: i32,
     /// The object that the job needs, and the duration of its fetch without contention, in microseconds.
-    pub thing: Option<(u64, Micros)>,
+    pub object: Option<(u64, Micros)>,
 }
 
 impl Job {
@@ -164,7 +164,7 @@
     order: Order,
     cache: Option<ObjectCache>,
     /// Factor on the speed; below 1 while a fault slows the worker down.
-    pace: f64,
+    speed_factor: f64,
     /// Number of free slots.
     free: u32,
     stalled_until: Micros,
@@ -188,7 +188,7 @@
             queue: VecDeque::new(),
             order: Order::InOrder,
             cache: None,
-            pace: 1.0,
+            speed_factor: 1.0,
             free: kind.cores,
             stalled_until: 0,
             up: true,
@@ -198,7 +198,7 @@
     }
 
     /// Sets the order in which jobs start, and the cache of the objects that they need; `None`: jobs need no fetch.
-    pub fn serving(self, order: Order, cache: Option<ObjectCache>) -> Self {
+    pub fn with_order_and_cache(self, order: Order, cache: Option<ObjectCache>) -> Self {
         Worker {
             order,
             cache,
@@ -207,12 +207,12 @@
     }
 
     /// Whether the process runs.
-    pub fn up(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         self.up
     }
 
     /// Whether the worker is stalled now.
-    pub fn stalled(&self, now: Micros) -> bool {
+    pub fn is_stalled(&self, now: Micros) -> bool {
         now < self.stalled_until
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// The fraction of the full capacity that the warm-up has reached; 1 once the worker is warm.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn capacity_fraction(&self, now: Micros) -> f64 {
         if self.started_at == 0 || self.warm_up_time == 0 {
             return 1.0;
         }
@@ -240,12 +240,12 @@
 
     /// Work that all cores together can do in a microsecond now, in microseconds at speed 1.
     pub fn capacity(&self, now: Micros) -> f64 {
-        f64::from(self.cores) * self.speed * self.pace * self.warmth(now)
+        f64::from(self.cores) * self.speed * self.speed_factor * self.capacity_fraction(now)
     }
 
     /// The capacity while the worker is warming up; `None` once it is warm or its process has ended.
     pub fn warming_capacity(&self, now: Micros) -> Option<f64> {
-        (self.up && self.warmth(now) < 1.0).then(|| self.capacity(now))
+        (self.up && self.capacity_fraction(now) < 1.0).then(|| self.capacity(now))
     }
 
     /// Offers a job, which starts at once or waits in the queue.
@@ -271,9 +271,9 @@
     }
 
     /// Sets the factor on the speed, also for the jobs that are running.
-    pub fn set_pace(&mut self, now: Micros, pace: f64) {
-        let factor = pace / self.pace;
-        self.pace = pace;
+    pub fn set_speed_factor(&mut self, now: Micros, speed_factor: f64) {
+        let factor = speed_factor / self.speed_factor;
+        self.speed_factor = speed_factor;
         for run in &mut self.running {
             run.change_speed(now, factor);
         }
@@ -281,8 +281,8 @@
 
     /// Estimates the microseconds until a job offered now would be done, from the true state: running and waiting work is
     /// assumed to spread evenly over the cores. `None`: the worker takes no jobs, or is stalled.
-    pub fn would_end(&self, now: Micros, job: &Job) -> Option<f64> {
-        if !self.up || self.draining || self.stalled(now) {
+    pub fn completion_estimate(&self, now: Micros, job: &Job) -> Option<f64> {
+        if !self.up || self.draining || self.is_stalled(now) {
             return None;
         }
         let capacity = self.capacity(now);
@@ -297,8 +297,10 @@
         } else {
             running.chain(waiting).sum::<f64>() / capacity
         };
-        let fetch = match (&self.cache, job.thing) {
-            (Some(cache), Some((thing, takes))) if !cache.contains(thing) => takes as f64,
+        let fetch = match (&self.cache, job.object) {
+            (Some(cache), Some((object, fetch_time))) if !cache.contains(object) => {
+                fetch_time as f64
+            }
             _ => 0.0,
         };
         Some(wait + fetch + job.work as f64 / (capacity / f64::from(self.cores)))
@@ -400,11 +402,11 @@
         if now < self.stalled_until {
             return;
         }
-        let speed = self.speed * self.pace * self.warmth(now);
+        let speed = self.speed * self.speed_factor * self.capacity_fraction(now);
         while let Some(job) = self.next_to_start().and_then(|n| self.queue.remove(n)) {
             self.free -= job.slots;
-            let fetch = match (&mut self.cache, job.thing) {
-                (Some(cache), Some((thing, alone))) => cache.access(now, thing, alone),
+            let fetch = match (&mut self.cache, job.object) {
+                (Some(cache), Some((object, fetch_time))) => cache.access(now, object, fetch_time),
                 _ => 0,
             };
             let (work, from) = (job.work as f64, now + fetch);
--- a/crates/replay/tests/baseline.rs
+++ b/crates/replay/tests/baseline.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_attempt_goes_elsewhere_only_where_the_class_allows() {
+fn an_attempt_is_retried_on_another_worker_only_if_the_class_allows_it() {
     let (mut p, transport) = scheduler_of(Policy::RoundRobin, Effect::Unsafe, 3);
     submit_job(&mut p, &transport, 1, 0);
     end(&mut p, &transport, 1, 0, Status::Full);
@@ -151,7 +151,7 @@
             })
             .collect::<Vec<_>>()
     };
-    let count = |of: &[String], w: &str| of.iter().filter(|o| *o == w).count();
+    let count = |workers: &[String], worker: &str| workers.iter().filter(|w| *w == worker).count();
     let least = at(Policy::LeastOwn, [0; 6]);
     assert!(
         ["1", "2", "3"].iter().all(|w| count(&least, w) == 2),
--- a/crates/replay/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn published_schemas_are_those_of_the_program() {
+fn published_schemas_match_the_output_of_the_program() {
     for (of, file) in [
         ("mapping", "mapping.schema.json"),
         ("scenario", "scenario.schema.json"),
@@ -133,7 +133,7 @@
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn errors_say_what_and_where_and_have_their_exit_codes() {
+fn errors_name_the_input_and_set_the_exit_code() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| dir.path().join(name).display().to_string();
     std::fs::write(path("bad.json"), r#"{"version":1,"classes":[]}"#).expect("a file");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_survey_is_played_resumed_and_rejects_another_plan() {
+fn a_survey_is_played_and_resumed_and_rejects_another_plan() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name).display().to_string();
     let (rows, page) = (at("rows.jsonl"), at("page.html"));
--- a/crates/replay/tests/client.rs
+++ b/crates/replay/tests/client.rs
@@ -8,7 +8,7 @@
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn clients_retry_as_often_and_as_late_as_they_may() {
+fn clients_retry_within_their_limit_and_deadline() {
     let clients = Clients {
         honour: 1.0,
         ..Clients::default()
--- a/crates/replay/tests/deployments.rs
+++ b/crates/replay/tests/deployments.rs
@@ -4,12 +4,12 @@
 use indigofold_replay::survey::draw::{deployment, traits};
 
 #[test]
-fn every_drawn_deployment_is_a_scenario_and_the_same_each_time() {
+fn drawn_deployments_are_valid_scenarios_and_reproducible() {
     let mut drawn_traits = std::collections::BTreeSet::new();
     for n in 0..300 {
         let drawn = deployment(7, n);
         let text = serde_json::to_string(&drawn).expect("JSON");
-        let read = scenario::read(&text).unwrap_or_else(|wrong| panic!("{n}: {wrong}"));
+        let read = scenario::read(&text).unwrap_or_else(|error| panic!("deployment {n}: {error}"));
         assert_eq!(text, serde_json::to_string(&read).expect("JSON"));
         assert_eq!(
             text,
--- a/crates/replay/tests/rules.rs
+++ b/crates/replay/tests/rules.rs
@@ -10,10 +10,10 @@
 const UNSAFE: u32 = 0;
 const KEYED: u32 = 1;
 
-fn verdict(what: impl Fn(u64) -> Vec<Observation>) -> Verdict {
+fn verdict(observations: impl Fn(u64) -> Vec<Observation>) -> Verdict {
     let scenario = scenario();
     let mut checker = Checker::new(&scenario);
-    what(scenario.from())
+    observations(scenario.from())
         .into_iter()
         .for_each(|observation| checker.observe(observation));
     checker.finish(scenario.from() + 60_000_000)
@@ -63,8 +63,8 @@
 }
 
 #[track_caller]
-fn broken(rule: Rule, what: impl Fn(u64) -> Vec<Observation>) {
-    let found = verdict(what);
+fn assert_breaks(rule: Rule, observations: impl Fn(u64) -> Vec<Observation>) {
+    let found = verdict(observations);
     assert_eq!(
         found.breaches.keys().copied().collect::<Vec<_>>(),
         [rule],
@@ -74,29 +74,29 @@
 }
 
 #[track_caller]
-fn kept(what: impl Fn(u64) -> Vec<Observation>) {
-    let found = verdict(what);
+fn assert_keeps(observations: impl Fn(u64) -> Vec<Observation>) {
+    let found = verdict(observations);
     assert!(found.kept(), "{:?}", found.examples);
 }
 
 #[test]
-fn one_answer_in_time() {
-    kept(|t| served(1, UNSAFE, t));
-    broken(Rule::OneAnswer, |t| served(1, UNSAFE, t)[..4].to_vec());
-    broken(Rule::OneAnswer, |t| {
+fn each_job_gets_one_answer_by_its_deadline() {
+    assert_keeps(|t| served(1, UNSAFE, t));
+    assert_breaks(Rule::OneAnswer, |t| served(1, UNSAFE, t)[..4].to_vec());
+    assert_breaks(Rule::OneAnswer, |t| {
         [served(1, UNSAFE, t), vec![answered(1, true, t + 300_000)]].concat()
     });
-    broken(Rule::OneAnswer, |t| {
+    assert_breaks(Rule::OneAnswer, |t| {
         vec![accepted(1, UNSAFE, t), answered(1, false, t + 5_100_000)]
     });
-    broken(Rule::OneAnswer, |t| vec![answered(1, false, t)]);
-    kept(|t| vec![accepted(1, UNSAFE, t), answered(1, false, t + 5_060_000)]);
-    kept(|t| vec![accepted(1, UNSAFE, t), Observation::ClientLeft { job: 1 }]);
+    assert_breaks(Rule::OneAnswer, |t| vec![answered(1, false, t)]);
+    assert_keeps(|t| vec![accepted(1, UNSAFE, t), answered(1, false, t + 5_060_000)]);
+    assert_keeps(|t| vec![accepted(1, UNSAFE, t), Observation::ClientLeft { job: 1 }]);
 }
 
 #[test]
-fn what_is_served_was_produced_by_a_worker() {
-    broken(Rule::ResultProduced, |t| {
+fn served_results_were_produced_by_a_worker() {
+    assert_breaks(Rule::ResultProduced, |t| {
         vec![
             accepted(1, UNSAFE, t),
             sent(1, 3, t),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn unsafe_jobs_run_once_and_keyed_ones_repeat_in_their_window() {
+fn unsafe_jobs_run_once_and_keyed_jobs_repeat_only_within_their_window() {
     let twice = |class: u32, after: u64| {
         move |t: u64| {
             let mut all = vec![
@@ -138,11 +138,11 @@
             all
         }
     };
-    broken(Rule::Repeats, twice(UNSAFE, 400_000));
-    kept(twice(KEYED, 7_000_000));
-    broken(Rule::Repeats, twice(KEYED, 7_700_000));
+    assert_breaks(Rule::Repeats, twice(UNSAFE, 400_000));
+    assert_keeps(twice(KEYED, 7_000_000));
+    assert_breaks(Rule::Repeats, twice(KEYED, 7_700_000));
     // An attempt that the worker returned before it started does not count as a run.
-    kept(|t| {
+    assert_keeps(|t| {
         let mut all = twice(UNSAFE, 400_000)(t);
         all.insert(3, Observation::AttemptReturned { job: 1 });
         all
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_refusal_is_true() {
+fn refused_unsafe_jobs_never_ran() {
     let refused = |t: u64, class: u32, runs: bool| {
         let mut all = vec![accepted(1, class, t), sent(1, 3, t)];
         all.extend(runs.then_some(Observation::AttemptAccepted {
@@ -166,9 +166,9 @@
         });
         all
     };
-    broken(Rule::Refusal, |t| refused(t, UNSAFE, true));
-    kept(|t| refused(t, UNSAFE, false));
-    kept(|t| refused(t, KEYED, true));
+    assert_breaks(Rule::Refusal, |t| refused(t, UNSAFE, true));
+    assert_keeps(|t| refused(t, UNSAFE, false));
+    assert_keeps(|t| refused(t, KEYED, true));
 }
 
 #[test]
@@ -179,12 +179,12 @@
         all.push(answered(1, false, t + 100_000));
         all
     };
-    kept(|t| attempts(t, 4));
-    broken(Rule::Attempts, |t| attempts(t, 5));
+    assert_keeps(|t| attempts(t, 4));
+    assert_breaks(Rule::Attempts, |t| attempts(t, 5));
 }
 
 #[test]
-fn drained_workers_get_nothing_new() {
+fn draining_workers_get_no_new_attempts() {
     let after = |ms: u64, scheduler: u32, back: bool| {
         move |t: u64| {
             let mut all = vec![Observation::AvailabilityReported {
@@ -211,10 +211,10 @@
         }
     };
     // The attempt is sent 1 ms after the job was accepted.
-    kept(after(340, 0, false));
-    broken(Rule::Drain, after(360, 0, false));
-    kept(after(360, 1, false));
-    kept(after(360, 0, true));
+    assert_keeps(after(340, 0, false));
+    assert_breaks(Rule::Drain, after(360, 0, false));
+    assert_keeps(after(360, 1, false));
+    assert_keeps(after(360, 0, true));
 }
 
 #[test]
@@ -250,19 +250,19 @@
             all
         }
     };
-    let burst = |count, apart| burst_of(count, apart, 3);
-    kept(burst(most, 1_000));
-    broken(Rule::WarmUp, burst(most + 1, 1_000));
+    let burst = |count, interval| burst_of(count, interval, 3);
+    assert_keeps(burst(most, 1_000));
+    assert_breaks(Rule::WarmUp, burst(most + 1, 1_000));
     // Only a third of the work comes from a scheduler that knew of the restart, which is no breach.
-    kept(burst_of(most + 6, 1_000, 1));
-    kept(burst(300, 100_000));
+    assert_keeps(burst_of(most + 6, 1_000, 1));
+    assert_keeps(burst(300, 100_000));
     let found = verdict(burst(30, 1_000));
     assert!(
         (found.peak_warm_up_load - 3.0).abs() < 1e-9,
         "{}",
         found.peak_warm_up_load
     );
-    kept(|t| {
+    assert_keeps(|t| {
         let mut all = burst(40, 1_000)(t);
         all.insert(4, Observation::WarmedUp { worker: 3 });
         all
@@ -275,11 +275,12 @@
 fn no_speculative_runs_where_they_are_not_allowed() {
     let mut scenario = scenario();
     scenario.machines.speculative_runs = false;
-    let found = |what: &[Observation]| {
+    let found = |observations: &[Observation]| {
         let mut checker = Checker::new(&scenario);
         let t = scenario.from();
         checker.observe(accepted(1, KEYED, t));
-        what.iter()
+        observations
+            .iter()
             .for_each(|observation| checker.observe(*observation));
         checker.observe(Observation::ResultProduced { job: 1 });
         checker.observe(answered(1, true, t + 900_000));
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -16,17 +16,17 @@
     }
 }
 
-const FEW: [Policy; 3] = [Policy::Module, Policy::Random, Policy::ByKey];
+const COMPARED_POLICIES: [Policy; 3] = [Policy::Module, Policy::Random, Policy::ByKey];
 
 #[test]
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn rows_are_the_same_on_any_number_of_threads_and_after_a_stop() {
+fn rows_are_the_same_on_any_number_of_threads_and_after_an_interruption() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| dir.path().join(name);
-    let plan = plan(&FEW);
+    let plan = plan(&COMPARED_POLICIES);
     let complete = survey::survey(&plan, 5, 1, &path("one"), |_| {}).expect("played");
     assert_eq!(
         complete,
@@ -54,35 +54,35 @@
         seed: 4,
         ..plan.clone()
     };
-    let why = survey::survey(&other, 5, 1, &path("one"), |_| {})
+    let error = survey::survey(&other, 5, 1, &path("one"), |_| {})
         .expect_err("another")
         .to_string();
     assert!(
-        why.contains("it holds another survey (seed 3, 2 runs, version 1)"),
-        "{why}"
+        error.contains("it holds another survey (seed 3, 2 runs, version 1)"),
+        "{error}"
     );
     std::fs::write(path("notes"), "my notes\n").expect("written");
-    let why = survey::survey(&plan, 5, 1, &path("notes"), |_| {})
+    let error = survey::survey(&plan, 5, 1, &path("notes"), |_| {})
         .expect_err("no survey")
         .to_string();
-    assert!(why.contains("it is no survey"), "{why}");
+    assert!(error.contains("it is no survey"), "{error}");
     assert_eq!(
         std::fs::read_to_string(path("notes")).expect("there"),
         "my notes\n"
     );
-    let why = survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {})
+    let error = survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {})
         .expect_err("too few")
         .to_string();
-    assert_eq!(why, "1 runs given, 2 to 16 are allowed");
+    assert_eq!(error, "1 runs given, 2 to 16 are allowed");
     // The summary, the HTML page and the text show the survey.
-    let summary = survey::summary(&complete, 2);
+    let summary = survey::summarise(&complete, 2);
     assert_eq!((summary.count, summary.worst.len()), (5, 2));
-    let html = page::page("A survey", &complete, &summary).expect("a page");
+    let html = page::render_html("A survey", &complete, &summary).expect("a page");
     assert!(html.contains("<svg") && html.contains(&format!("Deployment {}", summary.worst[0])));
-    assert!(page::text(&complete, &summary).contains("5 deployments"));
+    assert!(page::render_text(&complete, &summary).contains("5 deployments"));
 }
 
-fn played(s: &Scenario, policy: Policy, seed: u64) -> Run {
+fn play(s: &Scenario, policy: Policy, seed: u64) -> Run {
     let simulation =
         Simulation::with_policy(s, seed, Retries::Model, policy).expect("a simulation");
     simulation
@@ -112,7 +112,7 @@
     let mut s = simple_scenario();
     s.load.rate = s.capacity() * 0.85;
     for seed in 1..4 {
-        let service_metric = |policy| played(&s, policy, seed).outcome.service_metric;
+        let service_metric = |policy| play(&s, policy, seed).outcome.service_metric;
         let (all, two, any) = (
             service_metric(Policy::AllKnowing),
             service_metric(Policy::TwoChoices),
@@ -127,7 +127,7 @@
 
 /// With object caches on the workers, policies that choose by subject need fewer fetches, and so does the module.
 #[test]
-fn policies_by_subject_fetch_less() {
+fn policies_that_choose_by_subject_fetch_less() {
     let mut s = simple_scenario();
     s.classes[0].work_ms = 300.0;
     s.classes[0].latency_target_ms = 600;
@@ -140,9 +140,8 @@
         at_once: 20.0,
     });
     s.machines.reports = false;
-    let fetches = |policy| {
-        played(&s, policy, 5).fetches as f64 / played(&s, policy, 5).outcome.counts[0] as f64
-    };
+    let fetches =
+        |policy| play(&s, policy, 5).fetches as f64 / play(&s, policy, 5).outcome.counts[0] as f64;
     let (random, by_key, module) = (
         fetches(Policy::Random),
         fetches(Policy::ByKey),
@@ -153,7 +152,7 @@
         "{random:.2}, {by_key:.2}, {module:.2}"
     );
     s.machines.things = None;
-    assert_eq!(played(&s, Policy::Random, 5).fetches, 0);
+    assert_eq!(play(&s, Policy::Random, 5).fetches, 0);
 }
 
 #[test]
@@ -163,7 +162,7 @@
 )]
 fn faults_lower_the_service_metric() {
     let calm = simple_scenario();
-    let base = played(&calm, Policy::Random, 2).outcome;
+    let base = play(&calm, Policy::Random, 2).outcome;
     let all = (0..calm.workers()).collect::<Vec<_>>();
     let with = |what: FaultKind| {
         let mut s = calm.clone();
@@ -173,7 +172,7 @@
             workers: all.clone(),
             what,
         }];
-        played(&s, Policy::Random, 2).outcome
+        play(&s, Policy::Random, 2).outcome
     };
     let slow = with(FaultKind::Slow { times: 3.0 });
     assert!(
@@ -200,18 +199,18 @@
         workers: Vec::new(),
         what,
     }];
-    let about = |s: &Scenario| -> Vec<String> {
+    let subjects = |s: &Scenario| -> Vec<String> {
         Made::new(s, 2)
             .expect("load")
             .map(|a| a.expect("an arrival").subject)
             .collect()
     };
     let hot_fraction = |s: &Scenario| {
-        let about = about(s);
-        about.iter().filter(|a| a.starts_with("hot-")).count() as f64 / about.len() as f64
+        let subjects = subjects(s);
+        subjects.iter().filter(|s| s.starts_with("hot-")).count() as f64 / subjects.len() as f64
     };
     assert!((hot_fraction(&hot) - 0.5).abs() < 0.05 && hot_fraction(&calm) == 0.0);
-    assert_eq!(played(&hot, Policy::Random, 2).outcome, base);
+    assert_eq!(play(&hot, Policy::Random, 2).outcome, base);
 }
 
 #[test]
@@ -223,7 +222,7 @@
     let served = |cancel: bool| {
         let mut s = s.clone();
         s.machines.cancel = cancel;
-        played(&s, Policy::TwoChoices, 2).outcome.ends[0]
+        play(&s, Policy::TwoChoices, 2).outcome.ends[0]
     };
     let (stops, goes_on) = (served(true), served(false));
     assert!(
@@ -237,7 +236,7 @@
 fn the_module_keeps_the_rules_on_drawn_deployments() {
     for number in 0..24 {
         let s = draw::deployment(11, number);
-        let run = played(&s, Policy::Module, number);
+        let run = play(&s, Policy::Module, number);
         assert!(
             run.verdict.kept(),
             "deployment {number}: {:?}",
@@ -274,12 +273,12 @@
         workers: vec![0],
         what: FaultKind::Slow { times: 0.5 },
     }];
-    let why = scenario::read(&serde_json::to_string(&s).expect("JSON"))
+    let error = scenario::read(&serde_json::to_string(&s).expect("JSON"))
         .expect_err("faster")
         .to_string();
     assert!(
-        why.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"),
-        "{why}"
+        error.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"),
+        "{error}"
     );
 }
 
@@ -291,7 +290,7 @@
     s.load.seconds = 60.0;
     s.load.jumps.clear();
     s.faults.retain(|t| t.at_s + t.for_s < 55.0);
-    let (module, random) = (played(&s, Policy::Module, 1), played(&s, Policy::Random, 1));
+    let (module, random) = (play(&s, Policy::Module, 1), play(&s, Policy::Random, 1));
     assert!(module.verdict.kept(), "{:?}", module.verdict.examples);
     assert!(
         module.outcome.service_metric > random.outcome.service_metric,
--- a/crates/replay/tests/virtual_time.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -39,7 +39,7 @@
     s
 }
 
-fn live(s: &Scenario, seed: u64) -> Run {
+fn play_generated(s: &Scenario, seed: u64) -> Run {
     let simulation = Simulation::new(s, seed, Retries::Model).expect("a simulation");
     simulation
         .play(Made::new(s, seed).expect("load"), |_| {}, |_| {})
@@ -47,7 +47,12 @@
 }
 
 /// Plays a generated load, writes access logs in this form, and imports a recording from these logs alone.
-fn recorded(s: &Scenario, seed: u64, form: Form, damage: LogDamage) -> (Run, Imported, Vec<u8>) {
+fn record_and_import(
+    s: &Scenario,
+    seed: u64,
+    form: Form,
+    damage: LogDamage,
+) -> (Run, Imported, Vec<u8>) {
     let dir = tempfile::tempdir().expect("a folder");
     let paths: Vec<_> = (0..s.schedulers)
         .map(|n| dir.path().join(format!("{n}.log")))
@@ -80,7 +85,7 @@
     (run, imported, bytes)
 }
 
-fn replayed(s: &Scenario, bytes: &[u8], seed: u64, retries: Retries) -> Run {
+fn replay(s: &Scenario, bytes: &[u8], seed: u64, retries: Retries) -> Run {
     let reader = Reader::new(bytes).expect("a recording");
     let simulation = Simulation::new(s, seed, retries).expect("a simulation");
     simulation
@@ -95,9 +100,9 @@
 #[test]
 fn the_same_seed_gives_the_same_run_bit_for_bit() {
     let s = scenario();
-    let (a, b) = (live(&s, 5), live(&s, 5));
+    let (a, b) = (play_generated(&s, 5), play_generated(&s, 5));
     assert_eq!(a, b);
-    assert_ne!(a.outcome, live(&s, 6).outcome);
+    assert_ne!(a.outcome, play_generated(&s, 6).outcome);
     assert!(a.verdict.kept(), "{:?}", a.verdict.examples);
     assert!(
         a.verdict.peak_warm_up_load > 0.0,
@@ -114,7 +119,7 @@
 
 /// Losing five workers for 60 s must show in the service metric and in the comparison.
 #[test]
-fn losing_half_the_fleet_lowers_the_service_metric() {
+fn losing_many_workers_lowers_the_service_metric() {
     let (s, mut bad) = (scenario(), scenario());
     bad.faults.push(Fault {
         at_s: 20.0,
@@ -122,7 +127,7 @@
         workers: vec![0, 2, 3, 5, 6],
         what: FaultKind::Crash,
     });
-    let (a, b) = (live(&s, 5), live(&bad, 5));
+    let (a, b) = (play_generated(&s, 5), play_generated(&bad, 5));
     assert!(
         b.outcome.service_metric < a.outcome.service_metric - 0.1,
         "{} {}",
@@ -150,7 +155,7 @@
         Form::Envoy,
         Form::Har,
     ] {
-        let (run, imported, bytes) = recorded(&s, 3, form, LogDamage::default());
+        let (run, imported, bytes) = record_and_import(&s, 3, form, LogDamage::default());
         let tally = &imported.tally;
         assert!(
             tally.adds_up() && tally.rejected() == 0,
@@ -165,7 +170,7 @@
             tally.taken,
             run.outcome.counts[0]
         );
-        let replay = replayed(&s, &bytes, 8, Retries::Model);
+        let replay = replay(&s, &bytes, 8, Retries::Model);
         let off = replay.outcome.service_metric / run.outcome.service_metric - 1.0;
         assert!(
             off.abs() < 0.05,
@@ -183,14 +188,12 @@
         lost: 0.01,
         damaged: 0.01,
     };
-    let (run, imported, bytes) = recorded(&s, 4, Form::Apache, damage);
+    let (run, imported, bytes) = record_and_import(&s, 4, Form::Apache, damage);
     let tally = &imported.tally;
     assert!(tally.adds_up() && tally.rejected() > 0, "{tally:?}");
     let lost = 1.0 - tally.taken as f64 / run.outcome.counts[0] as f64;
     assert!((0.005..0.03).contains(&lost), "{lost}");
-    let off = replayed(&s, &bytes, 8, Retries::Model)
-        .outcome
-        .service_metric
+    let off = replay(&s, &bytes, 8, Retries::Model).outcome.service_metric
         / run.outcome.service_metric
         - 1.0;
     assert!(off.abs() < 0.05, "{off}");
@@ -199,10 +202,10 @@
 #[test]
 fn recorded_retries_are_replaced_replayed_or_left_out() {
     let s = scenario();
-    let (_, imported, bytes) = recorded(&s, 4, Form::Apache, LogDamage::default());
+    let (_, imported, bytes) = record_and_import(&s, 4, Form::Apache, LogDamage::default());
     let folded = imported.tally.folded;
     assert!(folded > 20, "{folded}");
-    let count = |retries| replayed(&s, &bytes, 8, retries).outcome.counts[1];
+    let count = |retries| replay(&s, &bytes, 8, retries).outcome.counts[1];
     assert_eq!(count(Retries::None), 0);
     let sent = count(Retries::Recorded);
     assert!(
--- a/crates/replay/tests/worker.rs
+++ b/crates/replay/tests/worker.rs
@@ -58,7 +58,7 @@
     );
     w.crash();
     assert_eq!(events(&mut w, 250), [Event::Lost(3)]);
-    assert!(!w.up() && w.due().is_none());
+    assert!(!w.is_up() && w.due().is_none());
 }
 
 #[test]
@@ -68,7 +68,7 @@
     w.stall(50, 150);
     w.stall(60, 140);
     w.offer(70, job(2, 200, 1));
-    assert!(w.stalled(149));
+    assert!(w.is_stalled(149));
     assert_eq!(
         events(&mut w, 149),
         [Event::Started(1)],
@@ -83,9 +83,9 @@
 #[test]
 fn a_new_process_warms_up_with_time_and_work() {
     let mut w = Worker::new(&kind(), 1.0);
-    assert_eq!(w.warmth(0), 1.0);
+    assert_eq!(w.capacity_fraction(0), 1.0);
     w.restart(1_000_000);
-    assert_eq!(w.warmth(1_000_000), 0.25);
+    assert_eq!(w.capacity_fraction(1_000_000), 0.25);
     w.offer(1_000_000, job(1, 1_000_000, 1));
     assert_eq!(
         w.due(),
@@ -93,16 +93,19 @@
         "the first progress event is due before the end of the job"
     );
     assert!(events(&mut w, 2_000_000).contains(&Event::Progress(1, 250)));
-    assert_eq!(w.warmth(5_000_000), 0.625);
-    assert_eq!(w.warmth(9_000_000), 1.0);
+    assert_eq!(w.capacity_fraction(5_000_000), 0.625);
+    assert_eq!(w.capacity_fraction(9_000_000), 1.0);
     (3..6).for_each(|n| assert_eq!(events(&mut w, n * 1_000_000 + 1).len(), 1));
-    assert!(w.warmth(3_000_000) > 0.6, "work done speeds up the warm-up");
+    assert!(
+        w.capacity_fraction(3_000_000) > 0.6,
+        "work done speeds up the warm-up"
+    );
 }
 
 #[test]
-fn each_order_starts_its_own_job_next() {
+fn each_order_selects_the_next_job_to_start() {
     let started = |order: Order| {
-        let mut w = Worker::new(&kind(), 1.0).serving(order, None);
+        let mut w = Worker::new(&kind(), 1.0).with_order_and_cache(order, None);
         w.offer(0, job(1, 100, 1));
         w.offer(0, job(2, 100, 2));
         w.offer(0, job(3, 100, 1));
@@ -148,15 +151,15 @@
 }
 
 #[test]
-fn a_change_of_pace_applies_to_running_jobs() {
+fn a_change_of_the_speed_factor_applies_to_running_jobs() {
     let mut w = Worker::new(&kind(), 2.0);
     w.offer(0, job(1, 4_000_000, 1));
-    w.set_pace(1_000_000, 0.25);
+    w.set_speed_factor(1_000_000, 0.25);
     assert_eq!(
         events(&mut w, 1_000_000),
         [Event::Started(1), Event::Progress(1, 500)]
     );
-    w.set_pace(3_000_000, 1.0);
+    w.set_speed_factor(3_000_000, 1.0);
     assert_eq!(w.capacity(3_000_000), 4.0);
     assert!(events(&mut w, 3_499_999).contains(&Event::Progress(1, 1000)));
     assert_eq!(events(&mut w, 3_500_000), [Event::Done(1)]);
@@ -165,19 +168,20 @@
 #[test]
 fn a_fetch_occupies_the_slot_without_progress() {
     let store = Arc::new(Mutex::new(ObjectStore::new(9.0)));
-    let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(ObjectCache::new(store, 4)));
-    let about = |run_id, thing| Job {
-        thing: Some((thing, 500_000)),
+    let mut w = Worker::new(&kind(), 1.0)
+        .with_order_and_cache(Order::InOrder, Some(ObjectCache::new(store, 4)));
+    let job_with_object = |run_id, object| Job {
+        object: Some((object, 500_000)),
         ..job(run_id, 1_000_000, 1)
     };
-    let ends = |w: &Worker, of: &Job| w.would_end(0, of);
-    assert_eq!(ends(&w, &about(9, 7)), Some(1_500_000.0));
-    w.offer(0, about(1, 7));
-    assert_eq!(ends(&w, &about(9, 7)), Some(1_000_000.0));
+    let estimate = |w: &Worker, job: &Job| w.completion_estimate(0, job);
+    assert_eq!(estimate(&w, &job_with_object(9, 7)), Some(1_500_000.0));
+    w.offer(0, job_with_object(1, 7));
+    assert_eq!(estimate(&w, &job_with_object(9, 7)), Some(1_000_000.0));
     assert_eq!(events(&mut w, 0), [Event::Started(1)]);
     assert_eq!(events(&mut w, 1_000_000), [Event::Progress(1, 500)]);
     assert_eq!(events(&mut w, 1_500_000), [Event::Done(1)]);
-    w.offer(2_000_000, about(2, 7));
+    w.offer(2_000_000, job_with_object(2, 7));
     assert_eq!(
         w.due(),
         Some(3_000_000),
