--- a/crates/replay/src/sockets/faults.rs
+++ b/crates/replay/src/sockets/faults.rs
@@ -1,14 +1,14 @@
-//! Faults of the scenario, played on the workers.
+//! Applies the faults of the scenario to the simulated workers.
 
 use super::discovery::Health;
 use super::workers::Fleet;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::scenario::{FaultKind, Micros};
 use smol::Timer;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Plays one fault from its beginning to its end. `shift` is added to its times.
+/// Plays one fault from its beginning to its end. `shift`, in microseconds, is added to its times.
 pub(crate) async fn play(
     environment: Arc<Environment>,
     fleet: Arc<Fleet>,
@@ -31,9 +31,9 @@
             }
         }
         FaultKind::Slow { times } => {
-            set_pace(&fleet, &fault.workers, 1.0 / times);
+            set_speed_factor(&fleet, &fault.workers, 1.0 / times);
             Timer::at(environment.instant(ends_at)).await;
-            set_pace(&fleet, &fault.workers, 1.0);
+            set_speed_factor(&fleet, &fault.workers, 1.0);
         }
         FaultKind::HotThings { .. } => {} // part of the load
         FaultKind::Crash => {
@@ -59,24 +59,24 @@
     }
 }
 
-fn set_pace(fleet: &Fleet, workers: &[u32], pace: f64) {
+fn set_speed_factor(fleet: &Fleet, workers: &[u32], speed_factor: f64) {
     for worker in workers {
-        fleet.set_pace(*worker, pace);
+        fleet.set_speed_factor(*worker, speed_factor);
     }
 }
 
-/// Discovery learns of a change after its delay.
+/// Changes the health of workers in discovery after its notice delay.
 async fn announce(environment: &Environment, workers: &[u32], health: Health, started_ms: u64) {
     Timer::after(Duration::from_millis(
         environment.scenario.discovery.notice_ms,
     ))
     .await;
     for worker in workers {
-        locked(&environment.membership).change(*worker, health, started_ms);
+        lock(&environment.membership).change(*worker, health, started_ms);
     }
 }
 
-/// New processes start once a crash or a drain is over.
+/// Restarts workers at the end of a crash or a drain, and announces the new processes.
 async fn restart(environment: &Environment, fleet: &Arc<Fleet>, workers: &[u32], at: Micros) {
     Timer::at(environment.instant(at)).await;
     for worker in workers {
--- a/crates/replay/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -1,7 +1,7 @@
-//! The real program as a child process, under its limits.
+//! Runs the real program as a child process under its resource limits.
 
 use super::http::HttpConnection;
-use super::{Environment, locked};
+use super::{Environment, lock};
 use crate::error::{FileSnafu, NoPortSnafu, NotReadySnafu, ReplayError};
 use serde_json::json;
 use smol::Timer;
@@ -12,9 +12,9 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// A scheduler; killed when dropped.
+/// A scheduler process; it is killed and its directory removed on drop.
 pub(crate) struct Program {
-    /// Where it listens.
+    /// The address at which the scheduler listens.
     pub address: SocketAddr,
     child: Child,
     dir: PathBuf,
@@ -28,25 +28,26 @@
     }
 }
 
-/// Starts a scheduler.
+/// Starts the scheduler with this index; `discovery` is the address from which it reads the membership.
 pub(crate) fn start(
     environment: &Environment,
     program: &Path,
-    me: u32,
+    index: u32,
     discovery: &SocketAddr,
 ) -> Result<Program, ReplayError> {
-    let dir = std::env::temp_dir().join(format!("indigofold-replay-{}-{me}", std::process::id()));
+    let dir =
+        std::env::temp_dir().join(format!("indigofold-replay-{}-{index}", std::process::id()));
     std::fs::create_dir_all(&dir).context(FileSnafu { path: &dir })?;
-    // A port that is free now; it is taken again at once.
+    // Binding to port 0 finds a free port; the listener closes here, and the program binds to the same port.
     let free = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .context(NoPortSnafu)?;
     let limits = &environment.scenario.limits;
-    let known = locked(&environment.membership).since(0, me).body;
-    let config = json!({"name": format!("n{me}"), "listen": free.to_string(), "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", environment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(me)),
+    let known = lock(&environment.membership).since(0, index).body;
+    let config = json!({"name": format!("n{index}"), "listen": free.to_string(), "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", environment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(index)),
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-        "known": known, "settings": environment.scenario.settings(me)});
+        "known": known, "settings": environment.scenario.settings(index)});
     let path = dir.join("config.json");
     std::fs::write(&path, config.to_string()).context(FileSnafu { path: &path })?;
     let log = dir.join("log");
@@ -71,8 +72,8 @@
 }
 
 impl Program {
-    /// Waits until it is ready.
-    pub(crate) async fn ready(&self, within: Duration) -> Result<(), ReplayError> {
+    /// Polls the readiness endpoint until it returns 200, for at most `within`.
+    pub(crate) async fn wait_until_ready(&self, within: Duration) -> Result<(), ReplayError> {
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Ok(stream) = TcpStream::connect(self.address).await {
@@ -92,8 +93,8 @@
         NotReadySnafu { within, log }.fail()
     }
 
-    /// How it ended, if it did.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status; `None` while the process runs.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -1,9 +1,10 @@
-//! A survey: deployments drawn at random, the module and the baseline policies played on the same draws, and where the module
-//! is behind.
+//! A survey draws deployments at random, plays the module and the baseline policies on each, and reports where the module is
+//! behind.
 //!
-//! All policies of one deployment meet the same arrivals, running times, faults and clients (common random numbers), so
-//! that their differences are not the luck of a draw; what a policy does changes the network's jitter from then on. A
-//! deployment is played several times with other seeds, and the interval of a difference is Student's, over those.
+//! All policies of one deployment get the same arrivals, running times, faults and clients (common random numbers), so that
+//! differences between policies are not due to the draw. The network jitter is the exception: it depends on the actions of the
+//! policy. Each deployment is played several times with different seeds, and the interval of a difference is Student's
+//! t interval over these runs.
 
 pub mod draw;
 pub mod page;
@@ -25,16 +26,16 @@
 use std::sync::PoisonError;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// The version of the ranges and of the rows: rows of another version are of another survey.
+/// The version of the draw ranges and of the row format. Rows of another version belong to another survey.
 pub const VERSION: u32 = 1;
-/// Runs of each deployment, at least and at most.
+/// Minimum and maximum number of runs of each deployment.
 pub const RUNS: (u32, u32) = (2, 16);
 
-/// Threads of a survey.
+/// Maximum number of threads of a survey.
 const MAX_THREADS: usize = 256;
 
-/// Student's 97.5% point for 1 to 15 degrees of freedom.
-const STUDENT: [f64; 15] = [
+/// The 97.5% quantile of Student's t distribution for 1 to 15 degrees of freedom.
+const STUDENT_T_975: [f64; 15] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131,
 ];
@@ -42,84 +43,85 @@
 /// The parameters of a survey.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The [`VERSION`] of the program that wrote it.
+    /// The [`VERSION`] of the program that wrote the plan.
     pub version: u32,
     /// The seed from which deployments are drawn.
     pub seed: u64,
-    /// Runs of each.
+    /// Number of runs of each deployment; see [`RUNS`].
     pub runs: u32,
-    /// The policies, the module among them.
+    /// The policies to play, including the module.
     pub policies: Vec<Policy>,
 }
 
-/// The results of a policy on a deployment.
+/// The results of one policy on one deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Played {
+pub struct PolicyResult {
     /// The service metric of each run.
     #[serde(rename = "figures")]
     pub metrics: Vec<f64>,
-    /// Breaches of rules, over all runs.
+    /// Number of breaches by rule, over all runs.
     pub breaches: BTreeMap<String, u64>,
-    /// Shares of jobs in time, late, refused, failed; fetches and attempts per job.
+    /// Means over the runs: the shares of jobs served in time, served late, refused and failed, then fetches and attempts per job.
     pub shares: [f64; 6],
 }
 
-impl Played {
-    /// The mean service metric.
+impl PolicyResult {
+    /// The mean service metric over all runs; 0 without runs.
     pub fn mean(&self) -> f64 {
         self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
     }
 }
 
-/// The results on a deployment.
+/// The results of all policies on one deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its number.
+    /// The number of the deployment.
     pub number: u64,
-    /// Its traits, by which the survey groups deployments.
+    /// The traits of the deployment, by which the summary groups.
     pub traits: Vec<String>,
-    /// Each policy on it.
-    pub played: BTreeMap<Policy, Played>,
+    /// The results by policy.
+    pub played: BTreeMap<Policy, PolicyResult>,
 }
 
 /// The module compared with the best baseline policy that does not see the true state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Against {
-    /// That policy.
+pub struct BestComparison {
+    /// The best baseline policy.
     pub best: Policy,
-    /// Module less that one.
-    pub by: f64,
-    /// ... with 95%.
+    /// The mean service metric of the module minus that of the best policy.
+    #[serde(rename = "by")]
+    pub difference: f64,
+    /// The 95% confidence interval of the difference.
     pub interval: [f64; 2],
 }
 
-/// Mean and 95% interval of paired differences.
-fn paired(a: &[f64], b: &[f64]) -> (f64, [f64; 2]) {
-    let by: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
-    let n = by.len().max(1) as f64;
-    let mean = by.iter().sum::<f64>() / n;
-    let spread = by.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    let student = STUDENT
-        .get(by.len().saturating_sub(2))
+/// Mean and 95% confidence interval of the paired differences `a - b`.
+fn paired_difference(a: &[f64], b: &[f64]) -> (f64, [f64; 2]) {
+    let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
+    let n = differences.len().max(1) as f64;
+    let mean = differences.iter().sum::<f64>() / n;
+    let variance = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
+    let quantile = STUDENT_T_975
+        .get(differences.len().saturating_sub(2))
         .copied()
         .unwrap_or(1.96);
-    let half = student * (spread / n).sqrt();
+    let half = quantile * (variance / n).sqrt();
     (mean, [mean - half, mean + half])
 }
 
 impl Row {
-    /// The module against the best of the others; `None` where one of them was not played.
-    pub fn against(&self) -> Option<Against> {
+    /// Compares the module with the best baseline policy; `None` if the module or every such policy is missing.
+    pub fn compare_with_best(&self) -> Option<BestComparison> {
         let module = self.played.get(&Policy::Module)?;
-        let plain = self
+        let baselines = self
             .played
             .iter()
             .filter(|(p, _)| **p != Policy::Module && !p.knows_all());
-        let (best, of) = plain.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
-        let (by, interval) = paired(&module.metrics, &of.metrics);
-        Some(Against {
+        let (best, best_result) = baselines.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
+        let (difference, interval) = paired_difference(&module.metrics, &best_result.metrics);
+        Some(BestComparison {
             best: *best,
-            by,
+            difference,
             interval,
         })
     }
@@ -134,15 +136,15 @@
     simulation.play(Made::new(scenario, seed)?, |_| {}, |_| {})
 }
 
-/// Plays one deployment.
+/// Plays all policies of the plan on one deployment.
 ///
 /// # Errors
 /// The scenario cannot be played.
-pub fn row(plan: &Plan, number: u64) -> Result<Row, ReplayError> {
+pub fn play_deployment(plan: &Plan, number: u64) -> Result<Row, ReplayError> {
     let scenario = draw::deployment(plan.seed, number);
     let mut played = BTreeMap::new();
     for policy in &plan.policies {
-        let mut of = Played::default();
+        let mut result = PolicyResult::default();
         let mut sums = [0.0; 6];
         for n in 0..plan.runs {
             let run = play(
@@ -155,9 +157,9 @@
                 number,
                 policy: policy.name(),
             })?;
-            of.metrics.push(run.outcome.service_metric);
+            result.metrics.push(run.outcome.service_metric);
             for (rule, count) in &run.verdict.breaches {
-                *of.breaches.entry(format!("{rule:?}")).or_default() += count;
+                *result.breaches.entry(format!("{rule:?}")).or_default() += count;
             }
             let jobs = run.outcome.counts[0].max(1) as f64;
             let parts = run.outcome.ends.map(|e| e as f64 / jobs);
@@ -174,8 +176,8 @@
                 .zip(all)
                 .for_each(|(s, a)| *s += a / f64::from(plan.runs));
         }
-        of.shares = sums;
-        played.insert(*policy, of);
+        result.shares = sums;
+        played.insert(*policy, result);
     }
     Ok(Row {
         number,
@@ -184,7 +186,7 @@
     })
 }
 
-/// Checks that the first line of a file names the same plan.
+/// Checks that the first line of a survey file contains the same plan.
 fn check_first_line(path: &Path, plan: &Plan, line: &[u8]) -> Result<(), ReplayError> {
     let other: Plan = serde_json::from_slice(line)
         .ok()
@@ -201,7 +203,8 @@
     Ok(())
 }
 
-/// The rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
+/// Opens a survey file and reads its rows, or writes the plan to a new file. Returns the rows, and the file positioned at its
+/// end. An incomplete last line, as an interrupted survey leaves it, is truncated.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), ReplayError> {
     let mut file = OpenOptions::new()
         .read(true)
@@ -235,11 +238,11 @@
     Ok((rows, file))
 }
 
-/// Plays the deployments 0 to `count` that the file does not hold yet, on so many threads; each row is written as it is
-/// done. All rows, by number: the same on any number of threads, and however often it was stopped.
+/// Plays those of the deployments 0 to `count` (exclusive) that the file does not contain yet, and appends each row to the file
+/// when it is complete. Returns all rows by number. The rows depend neither on the number of threads nor on interruptions.
 ///
 /// # Errors
-/// The file cannot be used, or a deployment not be played.
+/// The plan is invalid, the file cannot be used, or a deployment cannot be played.
 pub fn survey(
     plan: &Plan,
     count: u64,
@@ -263,7 +266,7 @@
         for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(|| {
                 while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let row = row(plan, *number);
+                    let row = play_deployment(plan, *number);
                     if !results_lock().add(row) {
                         next.store(missing.len(), Ordering::Relaxed);
                         return;
@@ -299,17 +302,17 @@
     }
 }
 
-/// The rows so far, and the file to which each new one goes.
+/// The rows so far, and the file to which new rows are appended.
 struct Results<'a> {
     path: &'a Path,
     file: File,
     rows: BTreeMap<u64, Row>,
-    /// The first error.
+    /// The first error, which stops the survey.
     error: Option<ReplayError>,
 }
 
 impl Results<'_> {
-    /// Writes a row, or keeps its error; false where the survey cannot go on.
+    /// Writes a row, or stores its error. Returns false if the survey must stop.
     fn add(&mut self, row: Result<Row, ReplayError>) -> bool {
         match row.and_then(|row| self.write(row)) {
             Ok(()) => true,
@@ -333,53 +336,58 @@
 /// The summary of a survey.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Deployments.
+    /// Number of deployments.
     pub count: usize,
-    /// Those on which the module is ahead of every policy that does not see the true state; and where the interval says so.
+    /// Number of deployments on which the module is ahead of every policy that does not see the true state, and of those on which
+    /// the whole interval is above 0.
     pub ahead: [usize; 2],
-    /// Those on which it is behind, and where the interval says so.
+    /// Number of deployments on which the module is behind, and of those on which the whole interval is below 0.
     pub behind: [usize; 2],
-    /// Those on which the module broke a rule, and each policy's number.
+    /// Number of deployments on which each policy broke a rule.
     pub broke: BTreeMap<Policy, usize>,
-    /// Mean service metrics.
+    /// Mean service metric of each policy.
     pub means: BTreeMap<Policy, f64>,
-    /// By what deployments are like: how many, the mean difference, and on how many the module is behind.
+    /// By trait: the number of deployments, the mean difference, and the number on which the module is behind.
     pub traits: BTreeMap<String, (usize, f64, usize)>,
-    /// Numbers of those on which it loses most, the worst first.
+    /// Numbers of the deployments with the lowest differences, the worst first.
     pub worst: Vec<u64>,
 }
 
-/// Summarises rows; `worst` deployments are named.
-pub fn summary(rows: &[Row], worst: usize) -> Summary {
+/// Summarises rows; `worst` is the maximum number of deployments listed in [`Summary::worst`].
+pub fn summarise(rows: &[Row], worst: usize) -> Summary {
     let mut s = Summary {
         count: rows.len(),
         ..Summary::default()
     };
-    let mut by: Vec<(f64, u64)> = Vec::new();
+    let mut differences: Vec<(f64, u64)> = Vec::new();
     for row in rows {
-        for (policy, of) in &row.played {
-            *s.broke.entry(*policy).or_default() += usize::from(!of.breaches.is_empty());
-            *s.means.entry(*policy).or_default() += of.mean() / rows.len() as f64;
+        for (policy, result) in &row.played {
+            *s.broke.entry(*policy).or_default() += usize::from(!result.breaches.is_empty());
+            *s.means.entry(*policy).or_default() += result.mean() / rows.len() as f64;
         }
-        let Some(against) = row.against() else {
+        let Some(comparison) = row.compare_with_best() else {
             continue;
         };
-        s.ahead[0] += usize::from(against.by > 0.0);
-        s.ahead[1] += usize::from(against.interval[0] > 0.0);
-        s.behind[0] += usize::from(against.by < 0.0);
-        s.behind[1] += usize::from(against.interval[1] < 0.0);
-        by.push((against.by, row.number));
+        s.ahead[0] += usize::from(comparison.difference > 0.0);
+        s.ahead[1] += usize::from(comparison.interval[0] > 0.0);
+        s.behind[0] += usize::from(comparison.difference < 0.0);
+        s.behind[1] += usize::from(comparison.interval[1] < 0.0);
+        differences.push((comparison.difference, row.number));
         for name in &row.traits {
-            let of = s.traits.entry(name.clone()).or_default();
-            (of.0, of.1) = (of.0 + 1, of.1 + against.by);
-            of.2 += usize::from(against.by < 0.0);
+            let group = s.traits.entry(name.clone()).or_default();
+            (group.0, group.1) = (group.0 + 1, group.1 + comparison.difference);
+            group.2 += usize::from(comparison.difference < 0.0);
         }
     }
     s.traits
         .values_mut()
-        .for_each(|of| of.1 /= of.0.max(1) as f64);
-    by.sort_by(|a, b| a.0.total_cmp(&b.0));
-    s.worst = by.iter().take(worst).map(|(_, number)| *number).collect();
+        .for_each(|group| group.1 /= group.0.max(1) as f64);
+    differences.sort_by(|a, b| a.0.total_cmp(&b.0));
+    s.worst = differences
+        .iter()
+        .take(worst)
+        .map(|(_, number)| *number)
+        .collect();
     s
 }
 
--- a/crates/replay/src/virtual_time/faults.rs
+++ b/crates/replay/src/virtual_time/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario: what they do to workers when they begin and end.
+//! Applies the faults of the scenario to workers when they begin and end.
 
 use super::Simulation;
 use super::events::Event;
@@ -21,7 +21,7 @@
             }
             FaultKind::Slow { times } => {
                 for worker in &fault.workers {
-                    self.set_worker_pace(*worker, 1.0 / times);
+                    self.set_worker_speed_factor(*worker, 1.0 / times);
                 }
             }
             FaultKind::HotThings { .. } => return, // part of the load
@@ -46,14 +46,14 @@
         let fault = &self.scenario.faults[number as usize];
         for worker in &fault.workers {
             if matches!(fault.what, FaultKind::Slow { .. }) {
-                self.set_worker_pace(*worker, 1.0);
+                self.set_worker_speed_factor(*worker, 1.0);
             } else {
                 self.restart_worker(*worker);
             }
         }
     }
 
-    /// One stall of workers that stall again and again.
+    /// Stalls the workers of a fault with recurring stalls once, and schedules the next stall.
     pub(super) fn stall_workers(&mut self, number: u32) {
         let fault = &self.scenario.faults[number as usize];
         let ends_at = self.scenario.from() + ((fault.at_s + fault.for_s) * 1e6) as Micros;
@@ -73,8 +73,8 @@
         self.set_worker_timer(worker);
     }
 
-    fn set_worker_pace(&mut self, worker: u32, pace: f64) {
-        self.workers[worker as usize].set_pace(self.now, pace);
+    fn set_worker_speed_factor(&mut self, worker: u32, speed_factor: f64) {
+        self.workers[worker as usize].set_speed_factor(self.now, speed_factor);
         self.set_worker_timer(worker);
     }
 
@@ -87,8 +87,8 @@
     }
 
     fn restart_worker(&mut self, worker: u32) {
-        if self.workers[worker as usize].up() {
-            // What a draining worker still runs is lost with its process.
+        if self.workers[worker as usize].is_up() {
+            // A draining worker loses the jobs that still run when its process ends.
             self.workers[worker as usize].crash();
             self.step_worker(worker);
         }
@@ -97,7 +97,7 @@
         self.announce(worker, WorkerState::Active, self.now);
     }
 
-    /// Discovery learns of a change after its delay.
+    /// Schedules the change for discovery, which notices it after its configured delay.
     fn announce(&mut self, worker: u32, state: WorkerState, started_at: Micros) {
         let at = self.now + self.scenario.discovery.notice_ms * 1000;
         let event = Event::DiscoveryChange {
--- a/crates/replay/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, from a log to a report.
+//! The command line, from importing a log to writing a report.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -9,7 +9,7 @@
         .args(args)
         .current_dir(root)
         .output()
-        .expect("a run")
+        .expect("indigofold-replay must start")
 }
 
 #[track_caller]
@@ -23,7 +23,7 @@
     serde_json::from_slice(&out.stdout).unwrap_or_else(|e| panic!("{args:?}: {e}"))
 }
 
-/// The worked example of `docs/replay.md`, with every operation.
+/// Runs the worked example of `docs/replay.md`, with every operation on recordings.
 #[test]
 #[allow(
     clippy::too_many_lines,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn published_schemas_are_those_of_the_program() {
+fn published_schemas_match_the_output_of_the_program() {
     for (of, file) in [
         ("mapping", "mapping.schema.json"),
         ("scenario", "scenario.schema.json"),
@@ -123,7 +123,7 @@
         );
         assert!(
             published.expect("a schema") == out.stdout,
-            "docs/{file} is out of date: indigofold-replay schema {of}"
+            "docs/{file} is out of date: replace it by the output of `indigofold-replay schema {of}`"
         );
     }
 }
@@ -133,7 +133,7 @@
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn errors_say_what_and_where_and_have_their_exit_codes() {
+fn errors_name_the_input_and_set_the_exit_code() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| dir.path().join(name).display().to_string();
     std::fs::write(path("bad.json"), r#"{"version":1,"classes":[]}"#).expect("a file");
@@ -178,12 +178,12 @@
     }
     assert!(
         !dir.path().join("o").exists(),
-        "nothing is left of an import that failed"
+        "a failed import must not leave an output file"
     );
 }
 
 #[test]
-fn a_survey_is_played_resumed_and_rejects_another_plan() {
+fn a_survey_is_played_and_resumed_and_rejects_another_plan() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name).display().to_string();
     let (rows, page) = (at("rows.jsonl"), at("page.html"));
--- a/crates/replay/tests/client.rs
+++ b/crates/replay/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client model: when a client sends its next retry.
+//! The client model: whether and when a client sends its next retry.
 
 use indigofold_replay::client::{ClientResponse, next_retry};
 use indigofold_replay::scenario::{Clients, Effect};
@@ -8,7 +8,7 @@
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn clients_retry_as_often_and_as_late_as_they_may() {
+fn clients_retry_within_their_limit_and_deadline() {
     let clients = Clients {
         honour: 1.0,
         ..Clients::default()
@@ -43,7 +43,7 @@
     assert_eq!(
         next(Effect::Unsafe, ClientResponse::Refused(700_000), 0, 600_000),
         None,
-        "its time is up before"
+        "the deadline passes before the retry would be sent"
     );
     assert_eq!(
         next(Effect::Unsafe, ClientResponse::Refused(0), 3, 9_000_000),
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -1,5 +1,5 @@
-//! The survey gives the same rows on any number of threads and after any stop; and baseline policies rank as they must on
-//! scenarios whose order is known.
+//! The survey gives the same rows on any number of threads and after an interruption, and policies rank as expected on scenarios
+//! whose ranking is known.
 
 use indigofold_replay::baseline::Policy;
 use indigofold_replay::load::Made;
@@ -16,23 +16,23 @@
     }
 }
 
-const FEW: [Policy; 3] = [Policy::Module, Policy::Random, Policy::ByKey];
+const COMPARED_POLICIES: [Policy; 3] = [Policy::Module, Policy::Random, Policy::ByKey];
 
 #[test]
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn rows_are_the_same_on_any_number_of_threads_and_after_a_stop() {
+fn rows_are_the_same_on_any_number_of_threads_and_after_an_interruption() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| dir.path().join(name);
-    let plan = plan(&FEW);
+    let plan = plan(&COMPARED_POLICIES);
     let complete = survey::survey(&plan, 5, 1, &path("one"), |_| {}).expect("played");
     assert_eq!(
         complete,
         survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played")
     );
-    // Stopped in the middle of a line: complete rows stay, and are not played a second time.
+    // An interruption in the middle of a line: complete rows are kept, and not played a second time.
     let text = std::fs::read_to_string(path("one")).expect("rows");
     let end = text.match_indices('\n').nth(3).expect("four lines").0;
     std::fs::write(path("torn"), &text[..end + 40]).expect("written");
@@ -42,47 +42,47 @@
         complete,
         survey::survey(&plan, 5, 2, &path("torn"), count).expect("played")
     );
-    assert_eq!(played.into_inner(), 2, "three were there");
+    assert_eq!(played.into_inner(), 2, "three of five rows were complete");
     assert_eq!(
         survey::survey(&plan, 3, 2, &path("torn"), |_| {})
             .expect("there")
             .len(),
         3
     );
-    // Another survey's rows are not mixed in, and what is no survey is left alone.
+    // A file of another survey is rejected, and a file that is no survey is rejected and left unchanged.
     let other = Plan {
         seed: 4,
         ..plan.clone()
     };
-    let why = survey::survey(&other, 5, 1, &path("one"), |_| {})
+    let error = survey::survey(&other, 5, 1, &path("one"), |_| {})
         .expect_err("another")
         .to_string();
     assert!(
-        why.contains("it holds another survey (seed 3, 2 runs, version 1)"),
-        "{why}"
+        error.contains("it holds another survey (seed 3, 2 runs, version 1)"),
+        "{error}"
     );
     std::fs::write(path("notes"), "my notes\n").expect("written");
-    let why = survey::survey(&plan, 5, 1, &path("notes"), |_| {})
+    let error = survey::survey(&plan, 5, 1, &path("notes"), |_| {})
         .expect_err("no survey")
         .to_string();
-    assert!(why.contains("it is no survey"), "{why}");
+    assert!(error.contains("it is no survey"), "{error}");
     assert_eq!(
         std::fs::read_to_string(path("notes")).expect("there"),
         "my notes\n"
     );
-    let why = survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {})
+    let error = survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {})
         .expect_err("too few")
         .to_string();
-    assert_eq!(why, "1 runs given, 2 to 16 are allowed");
-    // What is shown of it.
-    let summary = survey::summary(&complete, 2);
+    assert_eq!(error, "1 runs given, 2 to 16 are allowed");
+    // The summary, the HTML page and the text show the survey.
+    let summary = survey::summarise(&complete, 2);
     assert_eq!((summary.count, summary.worst.len()), (5, 2));
-    let html = page::page("A survey", &complete, &summary).expect("a page");
+    let html = page::render_html("A survey", &complete, &summary).expect("a page");
     assert!(html.contains("<svg") && html.contains(&format!("Deployment {}", summary.worst[0])));
-    assert!(page::text(&complete, &summary).contains("5 deployments"));
+    assert!(page::render_text(&complete, &summary).contains("5 deployments"));
 }
 
-fn played(s: &Scenario, policy: Policy, seed: u64) -> Run {
+fn play(s: &Scenario, policy: Policy, seed: u64) -> Run {
     let simulation =
         Simulation::with_policy(s, seed, Retries::Model, policy).expect("a simulation");
     simulation
@@ -90,7 +90,7 @@
         .expect("a run")
 }
 
-/// One class, equal machines, half loaded; nothing kept, no trouble.
+/// One class and equal workers at 60% load, without object caches and faults.
 fn simple_scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
         .expect("the example");
@@ -112,7 +112,7 @@
     let mut s = simple_scenario();
     s.load.rate = s.capacity() * 0.85;
     for seed in 1..4 {
-        let service_metric = |policy| played(&s, policy, seed).outcome.service_metric;
+        let service_metric = |policy| play(&s, policy, seed).outcome.service_metric;
         let (all, two, any) = (
             service_metric(Policy::AllKnowing),
             service_metric(Policy::TwoChoices),
@@ -125,9 +125,9 @@
     }
 }
 
-/// Where job workers keep what jobs need, rules that go by it fetch less, and so does the module.
+/// With object caches on the workers, policies that choose by subject need fewer fetches, and so does the module.
 #[test]
-fn policies_by_subject_fetch_less() {
+fn policies_that_choose_by_subject_fetch_less() {
     let mut s = simple_scenario();
     s.classes[0].work_ms = 300.0;
     s.classes[0].latency_target_ms = 600;
@@ -140,9 +140,8 @@
         at_once: 20.0,
     });
     s.machines.reports = false;
-    let fetches = |policy| {
-        played(&s, policy, 5).fetches as f64 / played(&s, policy, 5).outcome.counts[0] as f64
-    };
+    let fetches =
+        |policy| play(&s, policy, 5).fetches as f64 / play(&s, policy, 5).outcome.counts[0] as f64;
     let (random, by_key, module) = (
         fetches(Policy::Random),
         fetches(Policy::ByKey),
@@ -153,7 +152,7 @@
         "{random:.2}, {by_key:.2}, {module:.2}"
     );
     s.machines.things = None;
-    assert_eq!(played(&s, Policy::Random, 5).fetches, 0);
+    assert_eq!(play(&s, Policy::Random, 5).fetches, 0);
 }
 
 #[test]
@@ -163,7 +162,7 @@
 )]
 fn faults_lower_the_service_metric() {
     let calm = simple_scenario();
-    let base = played(&calm, Policy::Random, 2).outcome;
+    let base = play(&calm, Policy::Random, 2).outcome;
     let all = (0..calm.workers()).collect::<Vec<_>>();
     let with = |what: FaultKind| {
         let mut s = calm.clone();
@@ -173,7 +172,7 @@
             workers: all.clone(),
             what,
         }];
-        played(&s, Policy::Random, 2).outcome
+        play(&s, Policy::Random, 2).outcome
     };
     let slow = with(FaultKind::Slow { times: 3.0 });
     assert!(
@@ -186,9 +185,9 @@
     let offered = slow.seconds[18..].iter().map(|s| s.offered).sum::<f64>();
     assert!(
         late > 0.8 * offered,
-        "it is over: {late:.0} of {offered:.0}"
+        "the service recovers once the fault has ended: {late:.0} of {offered:.0} earned"
     );
-    // Hot things change what jobs are about, and nothing else where nothing is kept.
+    // Hot objects change only the subjects of jobs; without object caches, the outcome stays the same.
     let mut hot = calm.clone();
     let what = FaultKind::HotThings {
         fraction: 0.5,
@@ -200,44 +199,44 @@
         workers: Vec::new(),
         what,
     }];
-    let about = |s: &Scenario| -> Vec<String> {
+    let subjects = |s: &Scenario| -> Vec<String> {
         Made::new(s, 2)
             .expect("load")
             .map(|a| a.expect("an arrival").subject)
             .collect()
     };
     let hot_fraction = |s: &Scenario| {
-        let about = about(s);
-        about.iter().filter(|a| a.starts_with("hot-")).count() as f64 / about.len() as f64
+        let subjects = subjects(s);
+        subjects.iter().filter(|s| s.starts_with("hot-")).count() as f64 / subjects.len() as f64
     };
     assert!((hot_fraction(&hot) - 0.5).abs() < 0.05 && hot_fraction(&calm) == 0.0);
-    assert_eq!(played(&hot, Policy::Random, 2).outcome, base);
+    assert_eq!(play(&hot, Policy::Random, 2).outcome, base);
 }
 
 #[test]
 fn cancelled_jobs_stop_only_where_workers_stop_them() {
     let mut s = simple_scenario();
-    s.classes[0].deadline_ms = 300; // many are given up
+    s.classes[0].deadline_ms = 300; // many jobs miss this deadline and are cancelled
     s.classes[0].latency_target_ms = 100;
     s.load.rate = s.capacity() * 1.4;
     let served = |cancel: bool| {
         let mut s = s.clone();
         s.machines.cancel = cancel;
-        played(&s, Policy::TwoChoices, 2).outcome.ends[0]
+        play(&s, Policy::TwoChoices, 2).outcome.ends[0]
     };
     let (stops, goes_on) = (served(true), served(false));
     assert!(
         stops as f64 > 1.05 * goes_on as f64,
-        "in time: {stops} where it stops, {goes_on} where it goes on"
+        "served in time: {stops} if cancelled jobs stop, {goes_on} if they go on"
     );
 }
 
-/// On what a deployment may be like, the module keeps the rules.
+/// The module breaks no rule on 24 randomly drawn deployments.
 #[test]
 fn the_module_keeps_the_rules_on_drawn_deployments() {
     for number in 0..24 {
         let s = draw::deployment(11, number);
-        let run = played(&s, Policy::Module, number);
+        let run = play(&s, Policy::Module, number);
         assert!(
             run.verdict.kept(),
             "deployment {number}: {:?}",
@@ -274,16 +273,16 @@
         workers: vec![0],
         what: FaultKind::Slow { times: 0.5 },
     }];
-    let why = scenario::read(&serde_json::to_string(&s).expect("JSON"))
+    let error = scenario::read(&serde_json::to_string(&s).expect("JSON"))
         .expect_err("faster")
         .to_string();
     assert!(
-        why.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"),
-        "{why}"
+        error.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"),
+        "{error}"
     );
 }
 
-/// The second deployment's scenario, in its own words: the module keeps the rules on it, and is ahead of random.
+/// On the example scenario of the second deployment, the module keeps the rules and is ahead of the random policy.
 #[test]
 fn the_example_of_the_second_deployment_is_played() {
     let mut s =
@@ -291,7 +290,7 @@
     s.load.seconds = 60.0;
     s.load.jumps.clear();
     s.faults.retain(|t| t.at_s + t.for_s < 55.0);
-    let (module, random) = (played(&s, Policy::Module, 1), played(&s, Policy::Random, 1));
+    let (module, random) = (play(&s, Policy::Module, 1), play(&s, Policy::Random, 1));
     assert!(module.verdict.kept(), "{:?}", module.verdict.examples);
     assert!(
         module.outcome.service_metric > random.outcome.service_metric,
--- a/crates/replay/tests/worker.rs
+++ b/crates/replay/tests/worker.rs
@@ -1,4 +1,4 @@
-//! The worker model: queue, slots, warm-up, stalls and fetches.
+//! The worker model: queue, slots, warm-up, stalls, cancellation, speed changes and fetches.
 
 use indigofold_replay::object_store::{ObjectCache, ObjectStore};
 use indigofold_replay::scenario::{Kind, Micros, Order};
@@ -51,10 +51,14 @@
     assert_eq!(w.offer(200, job(20, 100, 1)), Offer::Full);
     w.drain();
     assert_eq!(w.offer(200, job(21, 100, 1)), Offer::Full);
-    assert_eq!(events(&mut w, 200).len(), 4, "what waits is handed back");
+    assert_eq!(
+        events(&mut w, 200).len(),
+        4,
+        "the waiting jobs are returned"
+    );
     w.crash();
     assert_eq!(events(&mut w, 250), [Event::Lost(3)]);
-    assert!(!w.up() && w.due().is_none());
+    assert!(!w.is_up() && w.due().is_none());
 }
 
 #[test]
@@ -64,11 +68,11 @@
     w.stall(50, 150);
     w.stall(60, 140);
     w.offer(70, job(2, 200, 1));
-    assert!(w.stalled(149));
+    assert!(w.is_stalled(149));
     assert_eq!(
         events(&mut w, 149),
         [Event::Started(1)],
-        "the second waits for the end of the pause"
+        "the second job waits for the end of the stall"
     );
     assert_eq!(w.due(), Some(150));
     assert_eq!(events(&mut w, 150), [Event::Started(2)]);
@@ -79,26 +83,29 @@
 #[test]
 fn a_new_process_warms_up_with_time_and_work() {
     let mut w = Worker::new(&kind(), 1.0);
-    assert_eq!(w.warmth(0), 1.0);
+    assert_eq!(w.capacity_fraction(0), 1.0);
     w.restart(1_000_000);
-    assert_eq!(w.warmth(1_000_000), 0.25);
+    assert_eq!(w.capacity_fraction(1_000_000), 0.25);
     w.offer(1_000_000, job(1, 1_000_000, 1));
     assert_eq!(
         w.due(),
         Some(2_000_000),
-        "a note on its progress comes first"
+        "the first progress event is due before the end of the job"
     );
     assert!(events(&mut w, 2_000_000).contains(&Event::Progress(1, 250)));
-    assert_eq!(w.warmth(5_000_000), 0.625);
-    assert_eq!(w.warmth(9_000_000), 1.0);
+    assert_eq!(w.capacity_fraction(5_000_000), 0.625);
+    assert_eq!(w.capacity_fraction(9_000_000), 1.0);
     (3..6).for_each(|n| assert_eq!(events(&mut w, n * 1_000_000 + 1).len(), 1));
-    assert!(w.warmth(3_000_000) > 0.6, "the work done counts too");
+    assert!(
+        w.capacity_fraction(3_000_000) > 0.6,
+        "work done speeds up the warm-up"
+    );
 }
 
 #[test]
-fn each_order_starts_its_own_job_next() {
+fn each_order_selects_the_next_job_to_start() {
     let started = |order: Order| {
-        let mut w = Worker::new(&kind(), 1.0).serving(order, None);
+        let mut w = Worker::new(&kind(), 1.0).with_order_and_cache(order, None);
         w.offer(0, job(1, 100, 1));
         w.offer(0, job(2, 100, 2));
         w.offer(0, job(3, 100, 1));
@@ -136,19 +143,23 @@
     assert_eq!(events(&mut w, 100), [Event::Started(3)]);
     w.cancel(200, 9);
     assert_eq!(events(&mut w, 1000), [Event::Done(2)]);
-    assert_eq!(events(&mut w, 1100), [Event::Done(3)], "and never 1");
+    assert_eq!(
+        events(&mut w, 1100),
+        [Event::Done(3)],
+        "the cancelled run 1 must not complete"
+    );
 }
 
 #[test]
-fn a_change_of_pace_applies_to_running_jobs() {
+fn a_change_of_the_speed_factor_applies_to_running_jobs() {
     let mut w = Worker::new(&kind(), 2.0);
     w.offer(0, job(1, 4_000_000, 1));
-    w.set_pace(1_000_000, 0.25);
+    w.set_speed_factor(1_000_000, 0.25);
     assert_eq!(
         events(&mut w, 1_000_000),
         [Event::Started(1), Event::Progress(1, 500)]
     );
-    w.set_pace(3_000_000, 1.0);
+    w.set_speed_factor(3_000_000, 1.0);
     assert_eq!(w.capacity(3_000_000), 4.0);
     assert!(events(&mut w, 3_499_999).contains(&Event::Progress(1, 1000)));
     assert_eq!(events(&mut w, 3_500_000), [Event::Done(1)]);
@@ -157,18 +168,23 @@
 #[test]
 fn a_fetch_occupies_the_slot_without_progress() {
     let store = Arc::new(Mutex::new(ObjectStore::new(9.0)));
-    let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(ObjectCache::new(store, 4)));
-    let about = |run_id, thing| Job {
-        thing: Some((thing, 500_000)),
+    let mut w = Worker::new(&kind(), 1.0)
+        .with_order_and_cache(Order::InOrder, Some(ObjectCache::new(store, 4)));
+    let job_with_object = |run_id, object| Job {
+        object: Some((object, 500_000)),
         ..job(run_id, 1_000_000, 1)
     };
-    let ends = |w: &Worker, of: &Job| w.would_end(0, of);
-    assert_eq!(ends(&w, &about(9, 7)), Some(1_500_000.0));
-    w.offer(0, about(1, 7));
-    assert_eq!(ends(&w, &about(9, 7)), Some(1_000_000.0));
+    let estimate = |w: &Worker, job: &Job| w.completion_estimate(0, job);
+    assert_eq!(estimate(&w, &job_with_object(9, 7)), Some(1_500_000.0));
+    w.offer(0, job_with_object(1, 7));
+    assert_eq!(estimate(&w, &job_with_object(9, 7)), Some(1_000_000.0));
     assert_eq!(events(&mut w, 0), [Event::Started(1)]);
     assert_eq!(events(&mut w, 1_000_000), [Event::Progress(1, 500)]);
     assert_eq!(events(&mut w, 1_500_000), [Event::Done(1)]);
-    w.offer(2_000_000, about(2, 7));
-    assert_eq!(w.due(), Some(3_000_000), "it is there");
+    w.offer(2_000_000, job_with_object(2, 7));
+    assert_eq!(
+        w.due(),
+        Some(3_000_000),
+        "the cached object needs no fetch: only the progress event is due"
+    );
 }
