--- a/crates/control-plane/src/core_member/head_role.rs
+++ b/crates/control-plane/src/core_member/head_role.rs
@@ -30,7 +30,7 @@
     /// ID for the first write of the next [`ActingHead`].
     next_write_id: SubmissionId,
     /// Writes of former [`ActingHead`]s of this process that have no result yet. Rows are loaded only once this set is empty, so
-    /// that they hold the results of all of them.
+    /// that the loaded rows contain the results of all these writes.
     pending_writes: BTreeSet<SubmissionId>,
 }
 
--- a/crates/data-plane/src/agent/former_instances.rs
+++ b/crates/data-plane/src/agent/former_instances.rs
@@ -16,7 +16,8 @@
     closed_instances: Vec<String>,
     /// Instances without running runs, to be reported as ended. One that returns is removed.
     ended_instances: ConnectionUpdates<String>,
-    /// The instance that the head last addressed although it has sent no heartbeat to this process.
+    /// The instance named in the head's latest orders while no instance is current; it has sent no heartbeat to this
+    /// process. `None` if there is no such instance.
     unregistered_instance: Option<String>,
 }
 
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -51,7 +51,7 @@
         /// Highest number that the sender has promised.
         promised: ViewNumber,
     },
-    /// Asks to accept a view (Paxos, second phase).
+    /// Asks the receiver to accept a view (Paxos, phase 2).
     Accept {
         /// The proposed view.
         view: View,
