--- a/crates/decisions/src/dispatcher/fleet/worker.rs
+++ b/crates/decisions/src/dispatcher/fleet/worker.rs
@@ -57,7 +57,8 @@
     pub probed_at: Time,
     /// Slots that peers have reported to occupy at the worker.
     pub(super) peer_claims: Vec<PeerClaim>,
-    /// Work that may be sent while the worker warms up, accumulated up to the time of the value. Negative: owed.
+    /// Work that may be sent while the worker warms up, accumulated up to the time of the value. A negative
+    /// value must be made up by the accumulation since then before anything may be sent.
     pub warm_up_budget: Timed,
     /// Since when each idle connection to the worker has been idle, in ascending order, estimated from the sends and
     /// outcomes there.
--- a/crates/decisions/src/dispatcher/overhead.rs
+++ b/crates/decisions/src/dispatcher/overhead.rs
@@ -3,7 +3,7 @@
 use super::tuning::{OVERHEAD_MAX, OVERHEAD_PER_REQUEST};
 use crate::api::WorkerId;
 
-/// Budget of probes and peer updates, and the state of those in use.
+/// Budget of probes and peer updates, the number of unanswered probes, and the last peer update.
 #[derive(Default)]
 pub(super) struct Overhead {
     /// Budget left, as a fraction of the result. Each request adds [`OVERHEAD_PER_REQUEST`], up to [`OVERHEAD_MAX`].
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -1,4 +1,5 @@
-//! New settings at run time: open requests keep the rules that their class had when they arrived, and statistics stay.
+//! Application of new settings at run time: open requests keep the rules that their class had when they arrived, and
+//! statistics stay.
 
 use super::Dispatcher;
 use super::state::ClassStats;
--- a/crates/decisions/src/dispatcher/tuning.rs
+++ b/crates/decisions/src/dispatcher/tuning.rs
@@ -47,7 +47,7 @@
 pub(super) const CROSSING_LATE_STARTS: f64 = 2.0;
 /// Number of requests in one queue that a scan may skip before it stops.
 pub(super) const SCAN_MISSES_MAX: usize = 2;
-/// The same limit for scans that consider only each request's home worker.
+/// Number of requests in one queue that a scan may skip if it considers only each request's home worker.
 pub(super) const HOME_SCAN_MISSES_MAX: usize = 32;
 /// Step of the failure rate after an error or a success.
 pub(super) const FAILURE_STEP: f64 = 0.25;
@@ -55,7 +55,7 @@
 pub(super) const TIMEOUT_STEP: f64 = 0.1;
 /// Number of progress intervals after which the next progress report is overdue.
 pub(super) const OVERDUE_INTERVALS: f64 = 1.2;
-/// The same limit for the first report of an attempt.
+/// Number of progress intervals after which the first progress report of an attempt is overdue.
 pub(super) const OVERDUE_FIRST_INTERVALS: f64 = 1.6;
 /// Failure rate above which a worker is on probation: it gets one retryable request at a time.
 pub(super) const PROBATION_FAILURE_RATE: f64 = 0.3;
@@ -73,7 +73,7 @@
 pub(super) const IDLE_GROWTH: f64 = 1.02;
 /// A waiting job may move to a worker that appears free after this many mean fetch times plus [`MOVE_WAIT`].
 pub(super) const MOVE_FETCHES: f64 = 2.0;
-/// See [`MOVE_FETCHES`].
+/// Constant part of the wait after which a waiting job may move, see [`MOVE_FETCHES`].
 pub(super) const MOVE_WAIT: Time = 100_000;
 /// Fraction of a worker's warm-up budget that is spent steadily. With the accumulated part, up to 0.75 of the budget is
 /// spent in any window.
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -120,7 +120,7 @@
     pub late_start_rate: LateStartRate,
     /// Number of the dispatcher's own jobs that may wait in workers' queues.
     pub wait_window: f64,
-    /// Connections idle for longer than this, in microseconds, are closed before use.
+    /// Idle time, in microseconds, up to which a connection is reused; one that was idle for longer is closed instead.
     pub trusted_idle: f64,
     /// Recent value and work of the requests.
     pub demand: Demand,
--- a/crates/scheduler/src/jobs/due_jobs/tests.rs
+++ b/crates/scheduler/src/jobs/due_jobs/tests.rs
@@ -1,4 +1,4 @@
-//! Timers of jobs are popped in order of time, and never early.
+//! Tests that timers of jobs are popped in order of time, and never early.
 
 use super::*;
 
--- a/crates/scheduler/src/jobs/step.rs
+++ b/crates/scheduler/src/jobs/step.rs
@@ -1,4 +1,4 @@
-//! The state of one step of a repetition: which of its tasks wait, run and are done.
+//! The state of one step within one repetition of a job: which of its tasks are waiting, running or done.
 
 use crate::jobs::run::{Placement, Run};
 use crate::jobs::task::Task;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// The state of one step of a repetition. All times are on the monotonic clock.
+/// The state of one step within one repetition of a job. All times are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(crate) struct StepState {
     tasks: Vec<Task>,
@@ -23,7 +23,7 @@
     waits: LatencyBreakdown,
     /// When a pass over the queue last considered the step.
     last_considered_ms: u64,
-    /// Latency breakdown from the due time of the repetition until the step was ready.
+    /// Latency breakdown from the due time of the job's repetition until the step was ready.
     latency_until_ready: LatencyBreakdown,
     /// Last reported checkpoint of any member of the gang; empty for none.
     gang_checkpoint: String,
@@ -96,7 +96,7 @@
         self.waiting_since_ms
     }
 
-    /// Latency breakdown from the due time of the repetition until the step was ready.
+    /// Latency breakdown from the due time of the job's repetition until the step was ready.
     pub(crate) fn latency_until_ready(&self) -> LatencyBreakdown {
         self.latency_until_ready
     }
--- a/crates/scheduler/src/jobs/task.rs
+++ b/crates/scheduler/src/jobs/task.rs
@@ -5,7 +5,7 @@
 use crate::run_result::RunResult;
 use crate::worker::WorkerId;
 
-/// The state of one task.
+/// The state of one task: its runs, failures, checkpoint and latency so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
     /// Attempt number of the newest run; 0 if none has been placed.
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -11,19 +11,21 @@
     /// Time between the due time and the opening of the repetition by this scheduler: mainly time under a predecessor,
     /// whose causes are not known.
     Predecessor,
-    /// Waiting while steps ahead in the queue wait for capacity too.
+    /// The task waits while steps ahead of its own in the queue wait for capacity too.
     Queue,
-    /// Waiting for free capacity on any worker, with no step ahead that blocks this one.
+    /// The task waits for free capacity on any worker, and no step ahead in the queue blocks its step.
     Capacity,
-    /// Waiting for free capacity on the rack of the data or in one rack, or for all members of a gang to fit at once.
+    /// The task waits for free capacity on the rack of its data or in one rack, or until all members of its gang fit at
+    /// once.
     Locality,
-    /// Placed, waiting for the placement to be committed.
+    /// The run is placed and waits for the placement to be committed.
     Commit,
-    /// Start order sent, not yet listed by the worker.
+    /// The start order was sent, but no report has listed the run as running yet.
     Dispatch,
     /// Run time of runs that were done in the end, without the part due to `Remote`.
     Run,
-    /// Part of such run time that is due to running remote from the data, or as a gang in several racks.
+    /// Additional run time of such runs because they were on another rack than their data, or because their gang was
+    /// spread over several racks.
     Remote,
     /// Time of runs that failed.
     Failed,
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -79,7 +79,7 @@
         )
     }
 
-    /// The same forecast for the workers of one rack, or of all racks if `rack` is `None`. Workers that are not
+    /// Forecasts like [`outlook`](Self::outlook) for the workers of one rack, or of all racks if `rack` is `None`. Workers that are not
     /// responsive, or reserved for another step of the same or a higher priority, are left out.
     fn outlook_in(
         &self,
--- a/crates/scheduler/src/placement/speculation.rs
+++ b/crates/scheduler/src/placement/speculation.rs
@@ -19,7 +19,7 @@
 const DEADLINE_MARGIN_MS: i64 = 600;
 /// A run is overdue if it has taken more than this multiple of its expected run time plus [`OVERDUE_MIN_MS`].
 const OVERDUE_FACTOR: f64 = 2.0;
-/// The same multiple for a run on a worker that is suspected or on probation.
+/// Multiple that replaces [`OVERDUE_FACTOR`] for a run on a worker that is suspected or on probation.
 const OVERDUE_FACTOR_SUSPECTED: f64 = 1.2;
 /// Constant part of the limit for overdue runs, in milliseconds.
 const OVERDUE_MIN_MS: f64 = 300.0;
--- a/crates/scheduler/src/run_result.rs
+++ b/crates/scheduler/src/run_result.rs
@@ -7,7 +7,7 @@
 pub(crate) enum RunResult {
     /// The worker has reported the end.
     Ended(RunEnd),
-    /// The run was not started: its order never left, was not passed on to the worker, or was lost.
+    /// The run was not started: its start order was never sent, was not passed on to the worker, or was lost.
     NotStarted,
     /// The worker instance has ended, or its leases have expired.
     Lost,
--- a/crates/scheduler/tests/checkpoints.rs
+++ b/crates/scheduler/tests/checkpoints.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// All members of a gang resume from the newest checkpoint of any member. That it is the same for all is checked at
-/// each start.
+/// All members of a gang resume from the newest checkpoint of any member. The simulated cluster checks at each start that
+/// the checkpoint is the same for all members.
 #[test]
 fn a_gang_resumes_from_the_newest_checkpoint() {
     let mut cluster = Cluster::new(4);
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -127,9 +127,9 @@
     pub writes_made: u64,
     /// Work lost by stops, in core-milliseconds.
     pub stopped_core_ms: f64,
-    /// Offset of the scheduler's wall-clock time from the true one.
+    /// Offset of the scheduler's wall-clock time from the true one, in milliseconds.
     pub clock_step_ms: i64,
-    /// Whether it is checked that no job stays idle, see [`idle_jobs`].
+    /// Whether the cluster checks that no job stays idle, see [`idle_jobs`].
     pub checks_idle: bool,
     /// Since when each idle job has been idle.
     idle_since: BTreeMap<JobId, u64>,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// The head fails. A random number of its pending writes is still committed, and a successor takes over from the
+    /// The head fails. A random number of its pending writes is still committed, and a new head takes over from the
     /// rows.
     pub(crate) fn fail_over(&mut self) {
         self.epoch += 1;
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -99,8 +99,8 @@
     assert_breakdown_complete(end);
 }
 
-/// After a failover the successor does not know why the job waited before, so it attributes that time to its
-/// predecessor.
+/// After a failover the new head does not know why the job waited before, so it attributes that time to its predecessor,
+/// the head that failed.
 #[test]
 fn time_under_a_predecessor_has_its_own_cause() {
     let mut cluster = Cluster::started(5);
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -6,7 +6,7 @@
 use indigofold_protocol::internal::ClientOutcome;
 use indigofold_protocol::job::JobState;
 
-/// A head fails at any moment around the start of a job. If the job was accepted, the successor completes it.
+/// A head fails at any moment around the start of a job. If the job was accepted, the new head completes it.
 #[test]
 fn a_successor_resends_lost_orders() {
     for delay_ms in 0..60 {
@@ -96,7 +96,7 @@
     );
 }
 
-/// The head, all node agents and all workers lose power together. From the rows a successor knows which machine an
+/// The head, all node agents and all workers lose power together. From the rows a new head knows which machine an
 /// instance was on, and concludes that it has ended once another instance registers there.
 #[test]
 fn instances_lost_with_the_head_are_ended_by_their_successors() {
@@ -138,8 +138,8 @@
     cluster.nodes[*node].instance()
 }
 
-/// Rows written before speculative runs were introduced can still be read: checks the bytes of a row with two running
-/// tasks, and that a successor takes over from it.
+/// Rows written before speculative runs existed can still be read: a row without speculative runs still has exactly these
+/// bytes, and a new head restores the job from it and completes it.
 #[test]
 fn rows_without_speculative_runs_are_read() {
     let mut cluster = Cluster::started(7);
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -74,7 +74,7 @@
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// Both runs are stored in the job's row. Whenever the head fails, its successor knows both and stops the one that is
+/// Both runs are stored in the job's row. Whenever the head fails, the new head knows both and stops the one that is
 /// not needed any more.
 #[test]
 fn a_successor_knows_both_runs() {
--- a/crates/scheduler/tests/stored_rows.rs
+++ b/crates/scheduler/tests/stored_rows.rs
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// A successor that has read the instance rows of an earlier version does not write them again.
+/// A new head that has read the instance rows of an earlier version does not write them again.
 #[test]
 fn rows_of_instances_are_read_as_by_an_earlier_version() {
     let mut cluster = Cluster::started(4);
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -177,7 +177,7 @@
     /// Returns how long after the end of its last attempt a job may still get a retry.
     fn retry_window(&self, succeeded: bool, keys: &MatchKeys) -> Micros {
         match (keys.has_exact(), succeeded) {
-            // Also after a success: the response may have been logged as sent without reaching the client.
+            // A retry may follow a success too: the response may have been logged as sent without reaching the client.
             (true, _) => KEYED_RETRY_WINDOW,
             (false, true) => 0,
             (false, false) if self.rules.marks => MARKED_RETRY_WINDOW,
--- a/crates/traffic/src/fold/open_jobs.rs
+++ b/crates/traffic/src/fold/open_jobs.rs
@@ -68,9 +68,9 @@
 pub(super) struct OpenJob {
     pub job: Job,
     pub end: EndTime,
-    /// Resolution of its timestamp.
+    /// Resolution of the last attempt's timestamp.
     pub resolution: Micros,
-    /// Whether it got a successful response.
+    /// Whether the last attempt got a successful response.
     pub succeeded: bool,
     /// Latest time at which a retry can begin.
     pub closes_at: Micros,
