--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -47,11 +47,11 @@
         let over_quota = self.is_over_quota(request.tenant);
         // A client's own retry has less time left than the first attempts of its class. The difference tells when the
         // client made its first attempt, from which the latency target counts.
-        let longest = &mut self.classes[class].longest_client_wait;
-        *longest = request.left.max(*longest);
-        let arrived = now.saturating_sub(*longest - request.left);
+        let longest_client_wait = &mut self.classes[class].longest_client_wait;
+        *longest_client_wait = request.left.max(*longest_client_wait);
+        let arrived_at = now.saturating_sub(*longest_client_wait - request.left);
         let rules = &self.settings.classes[class];
-        let late_from = arrived
+        let late_from = arrived_at
             .saturating_add(rules.latency_target)
             .saturating_add_signed(((rules.stretch - LATE_MARGIN) * work) as i64);
         let job = TransferredJob {
@@ -73,14 +73,14 @@
 
     /// Index of the current rules of a class; a class that is missing from the settings gets the strictest rules.
     fn class_index(&self, class: u32) -> usize {
-        let unknown = || {
+        let unknown_class_index = || {
             let mut classes = self.settings.classes.iter();
             classes
                 .position(|rules| *rules == Class::UNKNOWN)
                 .unwrap_or(0)
         };
-        let known = self.class_of.get(class as usize).copied();
-        known.unwrap_or_else(unknown)
+        let known_index = self.class_of.get(class as usize).copied();
+        known_index.unwrap_or_else(unknown_class_index)
     }
 
     /// Whether to reject a new request because the requests that it would displace have a higher expected value.
@@ -89,10 +89,11 @@
     /// between 0 and 1.
     fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
         let value = work * self.value_per_work(QueueIndex::new(class, over_quota, false));
-        let mean = work * self.value_per_work(QueueIndex::new(class, false, false));
-        self.displacement.record_request(mean, work * slots);
-        let displaced = self.displacement.displaced_value(work, slots);
-        random_fraction(&mut self.rng) * displaced > value
+        let value_within_quota = work * self.value_per_work(QueueIndex::new(class, false, false));
+        self.displacement
+            .record_request(value_within_quota, work * slots);
+        let displaced_value = self.displacement.displaced_value(work, slots);
+        random_fraction(&mut self.rng) * displaced_value > value
     }
 
     /// Rejects the oldest request of the least valuable queue if more requests are open than allowed, because each open
@@ -132,16 +133,16 @@
     /// Queues a request, or answers it if it cannot earn value any more, no attempt is allowed, or too little time is
     /// left before its deadline.
     fn enqueue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let retries = self.retries_left(now);
+        let remaining_retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let is_late = now > open.job.late_from;
         let last_tick = open.job.deadline.saturating_sub(2 * self.tick());
-        let until = self.sendable_until(open).min(last_tick);
+        let sendable_until = self.sendable_until(open).min(last_tick);
         let is_worthless = is_late && self.settings.classes[open.job.class].late_value <= 0.0;
-        let has_no_retry = !open.job.attempts.is_empty() && retries < 1.0;
-        if now >= until || is_worthless || has_no_retry {
+        let has_no_retry = !open.job.attempts.is_empty() && remaining_retries < 1.0;
+        if now >= sendable_until || is_worthless || has_no_retry {
             return self.answer(now, id, out);
         }
         let Some(open) = self.open.get_mut(&id) else {
@@ -149,12 +150,12 @@
         };
         let queue = QueueIndex::new(open.job.class, open.job.over_quota, is_late);
         open.queued_in = Some(queue);
-        let due = if is_late {
-            until
+        let review_due_at = if is_late {
+            sendable_until
         } else {
-            until.min(open.job.late_from + 1)
+            sendable_until.min(open.job.late_from + 1)
         };
-        self.reviews.schedule(due, id);
+        self.reviews.schedule(review_due_at, id);
         self.queues.push(queue, id);
     }
 
@@ -193,26 +194,26 @@
         } else {
             SCAN_MISSES_MAX
         };
-        let mut next = self.queues.len(queue);
+        let mut position = self.queues.len(queue);
         let mut misses = 0;
-        while next > 0 && misses < misses_max {
-            next -= 1;
-            let id = self.queues.at(queue, next);
+        while position > 0 && misses < misses_max {
+            position -= 1;
+            let id = self.queues.at(queue, position);
             let is_queued = |open: &OpenRequest| !open.closed && open.queued_in == Some(queue);
-            let waits = self.open.get(&id).is_some_and(is_queued);
-            let worker = match (waits, home_only) {
+            let is_waiting = self.open.get(&id).is_some_and(is_queued);
+            let worker = match (is_waiting, home_only) {
                 (false, _) => None,
                 (true, true) => self.choose_home(now, id),
                 (true, false) => self.choose(now, id),
             };
-            if waits && worker.is_none() {
+            if is_waiting && worker.is_none() {
                 misses += 1;
                 continue;
             }
             if worker.is_some_and(|worker| !self.send(now, id, worker, out)) {
                 self.answer(now, id, out);
             }
-            self.queues.remove_at(queue, next);
+            self.queues.remove_at(queue, position);
         }
     }
 
@@ -224,17 +225,17 @@
         } else {
             self.work(queue.class(), None).max(WORK_MIN)
         };
-        let over_quota = if queue.is_over_quota() {
+        let over_quota_factor = if queue.is_over_quota() {
             self.settings.over_quota_value
         } else {
             1.0
         };
-        let late = if queue.is_late() {
+        let late_factor = if queue.is_late() {
             class.late_value
         } else {
             1.0
         };
-        class.value * over_quota * late / work
+        class.value * over_quota_factor * late_factor / work
     }
 
     /// Performs the reviews that are due: answers requests that cannot earn value any more, even while they wait at a
@@ -284,18 +285,18 @@
     /// Delay after which the client should retry: a tick if the request is not late, otherwise the longest delay that
     /// clients respect; at most half of the request's remaining time. 0 if clients follow no such advice.
     fn retry_after(&self, now: Time, open: &OpenRequest) -> Time {
-        let longest = if self.settings.limits.retry_after {
+        let longest_delay = if self.settings.limits.retry_after {
             self.settings.limits.max_retry_after
         } else {
             0
         };
-        let wanted = if now > open.job.late_from {
-            longest
+        let wanted_delay = if now > open.job.late_from {
+            longest_delay
         } else {
             self.tick()
         };
-        wanted
-            .min(longest)
+        wanted_delay
+            .min(longest_delay)
             .min(open.job.deadline.saturating_sub(now) / 2)
     }
 
@@ -325,7 +326,7 @@
     /// Whether an arrival counts as beyond its tenant's quota: decided at random, so that the tenant's excess over its
     /// quota is marked on average.
     fn is_over_quota(&mut self, tenant: TenantId) -> bool {
-        let Some(arriving) = self.arrivals.fraction(tenant) else {
+        let Some(arriving_fraction) = self.arrivals.fraction(tenant) else {
             return false;
         };
         // More clients may use this dispatcher than others. A tenant with far less than its fraction of the arrivals
@@ -334,8 +335,8 @@
             quota_per_s,
             fraction,
         } = self.settings.tenants[tenant as usize];
-        let all = self.arrivals.latest().per_s * self.settings.dispatchers as f64;
-        random_fraction(&mut self.rng) * arriving
-            > (quota_per_s / all).max(WITHIN_QUOTA_FRACTION * fraction)
+        let arrivals_per_s = self.arrivals.latest().per_s * self.settings.dispatchers as f64;
+        random_fraction(&mut self.rng) * arriving_fraction
+            > (quota_per_s / arrivals_per_s).max(WITHIN_QUOTA_FRACTION * fraction)
     }
 }
--- a/crates/decisions/src/dispatcher/adoption.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -11,8 +11,11 @@
     /// Returns `None`, and keeps the request, if it is unknown, has its final answer, or its class rules have changed
     /// since it arrived.
     pub fn release(&mut self, now: Time, id: RequestId) -> Option<TransferredJob<u32>> {
-        let rules = self.open.get(&id).filter(|open| !open.closed)?.job.class;
-        let class = self.class_of.iter().position(|index| *index == rules)? as u32;
+        let class_index = self.open.get(&id).filter(|open| !open.closed)?.job.class;
+        let class = self
+            .class_of
+            .iter()
+            .position(|index| *index == class_index)? as u32;
         let open = self.open.remove(&id)?;
         self.reviews.remove_all(id);
         if let Some(queue) = open.queued_in {
@@ -27,11 +30,12 @@
             } else {
                 open.job.slots
             };
-            let of = AttemptId {
+            let attempt_id = AttemptId {
                 request: id,
                 attempt: number as AttemptNo,
             };
-            self.fleet.release_slots(now, attempt.worker, of, slots);
+            self.fleet
+                .release_slots(now, attempt.worker, attempt_id, slots);
         }
         let worker = |index: &usize| self.fleet[*index].listed.worker;
         open.job.renamed(|_| Some(class), worker)
@@ -53,11 +57,11 @@
             return;
         };
         for (number, attempt) in job.attempts.iter().enumerate() {
-            let of = AttemptId {
+            let attempt_id = AttemptId {
                 request: id,
                 attempt: number as AttemptNo,
             };
-            self.adopt_attempt(now, of, attempt, job.slots);
+            self.adopt_attempt(now, attempt_id, attempt, job.slots);
         }
         let open = OpenRequest {
             job,
@@ -103,8 +107,8 @@
             }
         }
         if attempt.started.is_some() {
-            let due = self.overdue_at(attempt);
-            self.reviews.schedule(due, id.request);
+            let overdue_at = self.overdue_at(attempt);
+            self.reviews.schedule(overdue_at, id.request);
         }
     }
 }
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -22,7 +22,7 @@
         index: usize,
         out: &mut Vec<Action>,
     ) -> bool {
-        let retries = self.retries_left(now);
+        let remaining_retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
             return false;
         };
@@ -30,13 +30,13 @@
         let work = self.work(open.job.class, open.job.estimate);
         let budget_left = self.warm_up_allowance(now, worker, work) - work;
         let by = self.sendable_until(open);
-        let allowed = now < by
-            && (open.job.attempts.is_empty() || retries >= 1.0)
+        let is_allowed = now < by
+            && (open.job.attempts.is_empty() || remaining_retries >= 1.0)
             && (self.settings.limits.duplicates || open.job.attempts.iter().all(|a| a.done))
             && worker.active
             && self.effect_allows(open, worker)
             && budget_left >= 0.0;
-        if !allowed {
+        if !is_allowed {
             return false;
         }
         self.fleet[index].warm_up_budget = Timed {
@@ -130,41 +130,44 @@
     /// Time from which on another attempt is not allowed, or would probably not end by the deadline. 0 if none is
     /// allowed at all.
     pub(super) fn sendable_until(&self, open: &OpenRequest) -> Time {
-        let runs = (LATE_MARGIN * self.work(open.job.class, open.job.estimate)) as Time;
-        let margin = runs.min(self.classes[open.job.class].longest_client_wait / 2);
-        let last = open.job.deadline.saturating_sub(margin);
-        let limit = open
+        let run_margin = (LATE_MARGIN * self.work(open.job.class, open.job.estimate)) as Time;
+        let margin = run_margin.min(self.classes[open.job.class].longest_client_wait / 2);
+        let latest_send = open.job.deadline.saturating_sub(margin);
+        let max_attempts = open
             .job
             .attempt_limit
             .min(self.settings.limits.attempts as usize);
         let may_have_run = open.job.attempts.iter().find(|a| !a.never_ran);
-        let until = |end: Time| end.saturating_sub(self.tick()).min(last);
+        let latest_send_before = |end: Time| end.saturating_sub(self.tick()).min(latest_send);
         match (may_have_run, self.settings.classes[open.job.class].effect) {
-            _ if open.closed || open.job.attempts.len() >= limit => 0,
+            _ if open.closed || open.job.attempts.len() >= max_attempts => 0,
             (Some(_), Effect::Unsafe) => 0,
-            (Some(first), Effect::Keyed { ttl, .. }) => until(first.sent.saturating_add(ttl)),
-            _ => last,
+            (Some(first_effective), Effect::Keyed { ttl, .. }) => {
+                latest_send_before(first_effective.sent.saturating_add(ttl))
+            }
+            _ => latest_send,
         }
     }
 
     /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
     pub(super) fn retries_left(&mut self, now: Time) -> f64 {
-        self.retries.left(now, self.settings.rules.resends)
+        self.retries
+            .remaining_retries(now, self.settings.rules.resends)
     }
 
     /// Whether the class's effect allows a further attempt on this worker, given the first attempt that may have run.
     pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
-        let Some(first) = open.job.attempts.iter().find(|a| !a.never_ran) else {
+        let Some(first_attempt) = open.job.attempts.iter().find(|a| !a.never_ran) else {
             return true;
         };
-        let of = &self.fleet[first.worker].listed;
+        let first_worker = &self.fleet[first_attempt.worker].listed;
         match self.settings.classes[open.job.class].effect {
             Effect::Keyed {
                 group: Group::Zone, ..
-            } => of.zone == worker.listed.zone,
+            } => first_worker.zone == worker.listed.zone,
             Effect::Keyed {
                 group: Group::Cell, ..
-            } => of.cell == worker.listed.cell,
+            } => first_worker.cell == worker.listed.cell,
             _ => true,
         }
     }
@@ -185,8 +188,9 @@
             // Long waits indicate queues shared with other dispatchers. A smaller wait window then keeps more requests
             // in this dispatcher's queues, which send the most valuable ones first.
             let capacity = self.capacity(&self.fleet[index]);
-            let target = LATE_START_WAIT * self.run_times.sum / self.run_times.weight / capacity;
-            self.adapt_to_start(index, wait >= target);
+            let late_start_wait =
+                LATE_START_WAIT * self.run_times.sum / self.run_times.weight / capacity;
+            self.adapt_to_start(index, wait >= late_start_wait);
         }
         self.fleet.release_slots(now, index, id, 0.0);
         self.handle_progress(now, id, 0.0);
@@ -198,15 +202,15 @@
     fn learn_from_start(&mut self, now: Time, index: usize, wait: f64) {
         let (worker, kind) = self.fleet.worker_and_kind_mut(index);
         let started_slots = worker.started_slots();
-        let rest = (kind.slots - started_slots).max(0.0);
+        let remaining_slots = (kind.slots - started_slots).max(0.0);
         let is_late = worker.is_late_start(wait, self.settings.granularity);
-        let others = worker
+        let former_others_slots = worker
             .load_updated_at
             .map_or(0.0, |at| worker.others_slots * freshness(now, at));
         worker.others_slots = if is_late {
-            rest + 1.0
+            remaining_slots + 1.0
         } else {
-            rest.min(others)
+            remaining_slots.min(former_others_slots)
         };
         worker.load_updated_at = Some(now);
         worker.start_delay = if wait < worker.start_delay {
@@ -215,12 +219,12 @@
             worker.start_delay * START_DELAY_GROWTH
         };
         if !kind.slots_reported {
-            let of_peers = if is_late {
+            let peer_slots = if is_late {
                 0.0
             } else {
                 worker.peer_slots(now).floor()
             };
-            kind.slots = kind.slots.max(started_slots + of_peers);
+            kind.slots = kind.slots.max(started_slots + peer_slots);
         }
     }
 
@@ -238,9 +242,10 @@
             self.record_progress(now, index);
         }
         let open = self.open.get(&id.request);
-        let due = open.map(|open| self.overdue_at(&open.job.attempts[id.attempt as usize]));
-        if let Some(due) = due {
-            self.reviews.schedule(due, id.request);
+        let review_due_at =
+            open.map(|open| self.overdue_at(&open.job.attempts[id.attempt as usize]));
+        if let Some(review_due_at) = review_due_at {
+            self.reviews.schedule(review_due_at, id.request);
         }
     }
 
@@ -266,32 +271,37 @@
             .filter(|attempt| !attempt.done)?;
         attempt.done = true;
         attempt.never_ran = never_ran;
-        let ended = attempt.clone();
+        let ended_attempt = attempt.clone();
         let (class, estimate) = (open.job.class, open.job.estimate);
         let has_affinity = open.job.affinity.is_some();
-        let slots = if ended.timed_out { 0.0 } else { open.job.slots };
+        let slots = if ended_attempt.timed_out {
+            0.0
+        } else {
+            open.job.slots
+        };
         if status == Status::Moot && id.attempt > 0 {
-            self.retries.remove_retry(ended.sent);
+            self.retries.remove_retry(ended_attempt.sent);
         }
-        let fetched = ended
+        let fetch_time = ended_attempt
             .started
             .filter(|_| has_affinity)
-            .and_then(|started| affinity::fetch_time(started, ended.first_progress, now));
-        let was_sent_away = ended.away_from_home && status == Status::Ok;
-        if let Some(took) = fetched.filter(|_| was_sent_away) {
-            self.fetches.record_fetch(took);
+            .and_then(|started| affinity::fetch_time(started, ended_attempt.first_progress, now));
+        let was_sent_away = ended_attempt.away_from_home && status == Status::Ok;
+        if let Some(fetch_duration) = fetch_time.filter(|_| was_sent_away) {
+            self.fetches.record_fetch(fetch_duration);
         }
-        self.fleet.release_slots(now, ended.worker, id, slots);
-        self.fleet[ended.worker].idle_since.push(now);
+        self.fleet
+            .release_slots(now, ended_attempt.worker, id, slots);
+        self.fleet[ended_attempt.worker].idle_since.push(now);
         load.iter()
-            .for_each(|load| self.handle_load(now, ended.worker, load));
-        self.learn_from_status(now, &ended, status);
-        if let (Status::Ok, Some(started)) = (status, ended.started) {
-            let fetch = fetched.unwrap_or(0.0) as Time;
-            let run = now.saturating_sub(started).saturating_sub(fetch);
-            self.learn_run_time(ended.worker, class, estimate, run);
+            .for_each(|load| self.handle_load(now, ended_attempt.worker, load));
+        self.learn_from_status(now, &ended_attempt, status);
+        if let (Status::Ok, Some(started)) = (status, ended_attempt.started) {
+            let fetch = fetch_time.unwrap_or(0.0) as Time;
+            let run_duration = now.saturating_sub(started).saturating_sub(fetch);
+            self.learn_run_time(ended_attempt.worker, class, estimate, run_duration);
         }
-        Some(ended.worker)
+        Some(ended_attempt.worker)
     }
 
     /// Whether an attempt with this result cannot have taken effect.
@@ -314,14 +324,15 @@
     }
 
     /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
-    fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
-        let was_idle = ended.connection_idle > 0;
-        if status == Status::Reset && ended.started.is_none() && was_idle {
+    fn learn_from_status(&mut self, now: Time, ended_attempt: &Attempt, status: Status) {
+        let was_idle = ended_attempt.connection_idle > 0;
+        if status == Status::Reset && ended_attempt.started.is_none() && was_idle {
             // A reset of an idle connection before the start is a fault of the connection, not of the worker.
-            self.connection_trust.record_reset(ended.connection_idle);
+            self.connection_trust
+                .record_reset(ended_attempt.connection_idle);
         } else if status != Status::Timeout {
             // A time-out is recorded when an attempt is overdue (see `time_out`).
-            self.record_outcome(now, ended.worker, status);
+            self.record_outcome(now, ended_attempt.worker, status);
         }
     }
 
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -54,10 +54,10 @@
         }
         let by_kind = slots.iter().zip(&speeds);
         let capacity: f64 = by_kind.map(|(slots, speed)| slots * speed).sum();
-        let arriving = self.settings.dispatchers as f64 * self.arrivals.latest().unbound;
-        let load = arriving / capacity.max(CAPACITY_MIN);
-        let solved = solve(&slots, &speeds, load, SAMPLE_SIZE as u32);
-        self.kind_weights.update(solved);
+        let arriving_work = self.settings.dispatchers as f64 * self.arrivals.latest().unbound;
+        let load = arriving_work / capacity.max(CAPACITY_MIN);
+        let probabilities = solve(&slots, &speeds, load, SAMPLE_SIZE as u32);
+        self.kind_weights.update(probabilities);
     }
 
     /// Groups the active workers by zone, preference and kind.
@@ -81,15 +81,16 @@
 
     /// Sets the preference for the own zone until starts have been observed, assuming a high load and the same number
     /// of dispatchers in every zone.
-    fn assume_home_preference(&mut self, at_home: usize) {
+    fn assume_home_preference(&mut self, home_worker_count: usize) {
         let zones: BTreeSet<_> = self
             .fleet
             .workers()
             .iter()
             .map(|worker| worker.listed.zone)
             .collect();
-        let of_all = (at_home * zones.len()) as f64;
-        let preference = of_all / INITIAL_ZONE_LOAD / self.fleet.workers().len() as f64;
+        let expected_worker_count = (home_worker_count * zones.len()) as f64;
+        let preference =
+            expected_worker_count / INITIAL_ZONE_LOAD / self.fleet.workers().len() as f64;
         self.zone_preference.assume(preference);
     }
 
@@ -97,9 +98,10 @@
     fn preferred_fraction(&self, pool: &[usize]) -> f64 {
         let capacities = pool.iter().map(|index| self.capacity(&self.fleet[*index]));
         let capacity: f64 = capacities.sum();
-        let least = SAMPLE_SIZE as f64 / pool.len().max(1) as f64;
-        let filled = self.arrivals.latest().work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
-        filled.max(least).min(1.0)
+        let min_fraction = SAMPLE_SIZE as f64 / pool.len().max(1) as f64;
+        let loaded_fraction =
+            self.arrivals.latest().work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
+        loaded_fraction.max(min_fraction).min(1.0)
     }
 
     /// Groups the workers of a kind. A contiguous range of them is preferred, which starts at a different position for
@@ -115,14 +117,15 @@
         fraction: f64,
     ) {
         let is_of_kind = |index: &usize| self.fleet[*index].kind == kind;
-        let all: Vec<usize> = pool.iter().copied().filter(is_of_kind).collect();
-        let count = all.len();
-        let first = count * self.settings.me as usize / self.settings.dispatchers as usize;
+        let kind_workers: Vec<usize> = pool.iter().copied().filter(is_of_kind).collect();
+        let count = kind_workers.len();
+        let first_preferred =
+            count * self.settings.me as usize / self.settings.dispatchers as usize;
         let preferred_count = (fraction * count as f64).ceil() as usize;
-        for (position, &index) in all.iter().enumerate() {
+        for (position, &index) in kind_workers.iter().enumerate() {
             let warm_up_rate = self.warm_up_rate(now, &self.fleet[index]);
-            let from_first = (position + count - first % count) % count;
-            let is_preferred = warm_up_rate.is_some() || from_first < preferred_count;
+            let distance_from_first = (position + count - first_preferred % count) % count;
+            let is_preferred = warm_up_rate.is_some() || distance_from_first < preferred_count;
             let group = if is_preferred {
                 locality.preferred
             } else {
--- a/crates/decisions/src/dispatcher/fleet.rs
+++ b/crates/decisions/src/dispatcher/fleet.rs
@@ -129,8 +129,8 @@
 
     /// The grouped workers of a kind, group by group.
     pub(super) fn grouped_of_kind(&self, kind: usize) -> impl Iterator<Item = usize> {
-        let of_kind = self.groups.iter().skip(kind).step_by(self.kinds.len());
-        of_kind.flatten().copied()
+        let kind_groups = self.groups.iter().skip(kind).step_by(self.kinds.len());
+        kind_groups.flatten().copied()
     }
 
     /// Workers with own slots in flight, in the order of their indices.
@@ -175,8 +175,8 @@
 
     /// Replaces all slots claimed by a peer. Unknown workers are skipped.
     pub(super) fn replace_claims(&mut self, now: Time, peer: u32, in_flight: &[(WorkerId, u8)]) {
-        let claimed = self.claimed.entry(peer).or_default();
-        for index in claimed.drain(..) {
+        let claimed_workers = self.claimed.entry(peer).or_default();
+        for index in claimed_workers.drain(..) {
             let claims = &mut self.workers[index].peer_claims;
             claims.retain(|claim| claim.peer != peer);
         }
@@ -189,23 +189,23 @@
                 slots: f64::from(*slots),
                 at: now,
             });
-            claimed.push(index);
+            claimed_workers.push(index);
         }
     }
 
     /// Whether all values derived from the table of workers agree with a recount.
     pub(super) fn is_consistent(&self) -> bool {
         let workers = self.workers.iter().enumerate();
-        let busy = workers
+        let busy_workers = workers
             .filter(|(_, worker)| worker.own_slots > 0.0)
             .map(|(index, _)| index);
-        let unstarted: usize = self.workers.iter().map(|w| w.unstarted.len()).sum();
+        let unstarted_attempts: usize = self.workers.iter().map(|w| w.unstarted.len()).sum();
         let claims: usize = self.workers.iter().map(|w| w.peer_claims.len()).sum();
-        let claimed: usize = self.claimed.values().map(Vec::len).sum();
-        let mut grouped = self.groups.iter().flatten();
-        self.unstarted_count == unstarted
-            && self.busy.iter().copied().eq(busy)
-            && claimed == claims
-            && grouped.all(|index| self.workers[*index].active)
+        let claimed_entries: usize = self.claimed.values().map(Vec::len).sum();
+        let mut grouped_workers = self.groups.iter().flatten();
+        self.unstarted_count == unstarted_attempts
+            && self.busy.iter().copied().eq(busy_workers)
+            && claimed_entries == claims
+            && grouped_workers.all(|index| self.workers[*index].active)
     }
 }
--- a/crates/decisions/src/dispatcher/fleet/worker.rs
+++ b/crates/decisions/src/dispatcher/fleet/worker.rs
@@ -81,10 +81,11 @@
     /// Updates and returns the number of started own slots, averaged over the age of a load report. Must be called
     /// before the number of started slots changes.
     pub(in crate::dispatcher) fn update_running_slots(&mut self, now: Time) -> f64 {
-        let fade = (-(now.saturating_sub(self.running_slots.at) as f64) / REPORT_AGE).exp();
-        let started = self.started_slots();
+        let former_weight =
+            (-(now.saturating_sub(self.running_slots.at) as f64) / REPORT_AGE).exp();
+        let started_slots = self.started_slots();
         self.running_slots = Timed {
-            value: started + fade * (self.running_slots.value - started),
+            value: started_slots + former_weight * (self.running_slots.value - started_slots),
             at: now,
         };
         self.running_slots.value
--- a/crates/decisions/src/dispatcher/health.rs
+++ b/crates/decisions/src/dispatcher/health.rs
@@ -24,10 +24,10 @@
             Status::Timeout => self.fleet[index].record_failure(now, TIMEOUT_STEP, true),
             Status::Full => {
                 // A slot becomes free within about a mean run time.
-                let run =
+                let mean_run_time =
                     (self.run_times.sum / self.run_times.weight).min(FULL_EJECTION_MAX) as Time;
                 let worker = &mut self.fleet[index];
-                worker.ejected_until = worker.ejected_until.max(now + run);
+                worker.ejected_until = worker.ejected_until.max(now + mean_run_time);
                 self.adapt_to_start(index, true);
                 self.displacement.record_rejection();
             }
@@ -52,8 +52,8 @@
     /// Decays the failure rates of workers that are not ejected. Without decay a probation would never end if no class
     /// is retryable.
     pub(super) fn decay_failures(&mut self, now: Time) {
-        let listed = self.fleet.workers_mut().iter_mut();
-        listed
+        let workers = self.fleet.workers_mut().iter_mut();
+        workers
             .filter(|worker| worker.ejected_until <= now)
             .for_each(|worker| worker.failure_rate *= FAILURE_DECAY);
     }
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -34,15 +34,16 @@
         let is_free = |worker: &Worker| {
             !self.is_expected_full(now, worker, 0.0) || (may_queue && worker.unstarted().is_empty())
         };
-        let takes = |index: &usize| {
+        let accepts_request = |index: &usize| {
             let worker = &self.fleet[*index];
             now >= worker.ejected_until && is_free(worker)
         };
         let is_preferred =
             |group: usize| group == group::HOME_PREFERRED || group == group::AWAY_PREFERRED;
         let mut groups = self.fleet.groups();
-        groups
-            .any(|(group, workers)| (may_queue || is_preferred(group)) && workers.iter().any(takes))
+        groups.any(|(group, workers)| {
+            (may_queue || is_preferred(group)) && workers.iter().any(accepts_request)
+        })
     }
 
     /// Load of a worker after one more send: the slots in flight, as far as known, divided by the worker's slots. A
@@ -56,17 +57,19 @@
     /// the estimate relies on the rate of late starts instead.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
         let LateStartRate { away, home } = self.zone_preference.late_starts();
-        let by_late_starts = away.max(home) * self.slots(worker);
+        let slots_from_late_starts = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| freshness(now, at));
-        let expected = worker.others_slots * recency + by_late_starts * (1.0 - recency);
-        expected.max(worker.peer_slots(now))
+        let expected_slots =
+            worker.others_slots * recency + slots_from_late_starts * (1.0 - recency);
+        expected_slots.max(worker.peer_slots(now))
     }
 
     /// Whether no slot is expected to be free: all known slots, plus `extra_slots`, are occupied, or an own attempt has
     /// waited at the worker for longer than a start on a free slot takes.
     pub(super) fn is_expected_full(&self, now: Time, worker: &Worker, extra_slots: f64) -> bool {
-        let oldest = worker.unstarted().first();
-        let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
+        let oldest_unstarted = worker.unstarted().first();
+        let wait =
+            oldest_unstarted.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
         worker.is_late_start(wait, self.settings.granularity)
             || worker.own_slots() + self.slots_of_others(now, worker) + HALF_SLOT
                 > self.slots(worker) + extra_slots
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -27,10 +27,10 @@
             self.update_entry(now, entry);
         }
         let must_disconnect = |worker: &Worker| !worker.active && worker.has_connections;
-        let disconnecting: Vec<usize> = (0..self.fleet.workers().len())
+        let workers_to_disconnect: Vec<usize> = (0..self.fleet.workers().len())
             .filter(|index| must_disconnect(&self.fleet[*index]))
             .collect();
-        for index in disconnecting {
+        for index in workers_to_disconnect {
             self.close_idle(index, out);
         }
         self.regroup_and_solve(now);
@@ -54,13 +54,14 @@
         let kind = (entry.kind as usize).min(KINDS_MAX);
         self.fleet.extend_kinds(kind + 1);
         let (index, _) = self.fleet.find_or_add(entry.worker);
-        // All dispatchers learn of a start at the same time. A random debt spreads the times of their first sends.
-        let owed =
+        // All dispatchers learn of a worker's start at the same time. A random negative budget spreads the times of their
+        // first sends to it.
+        let initial_budget =
             -random_fraction(&mut self.rng) * self.run_times.sum / self.run_times.weight.max(1.0);
         let worker = &mut self.fleet[index];
         if entry.ready_at > worker.listed.ready_at {
             worker.warm_up_budget = Timed {
-                value: owed,
+                value: initial_budget,
                 at: now,
             };
             worker.forget_former_process();
--- a/crates/decisions/src/dispatcher/membership_request.rs
+++ b/crates/decisions/src/dispatcher/membership_request.rs
@@ -6,16 +6,16 @@
 /// Due time of the next request, and the backoff after a failure.
 #[derive(Default)]
 pub(super) struct MembershipRequest {
-    due: Time,
+    due_at: Time,
     /// Delay of the request that follows the next failure.
     backoff: Time,
 }
 
 impl MembershipRequest {
-    /// The first request is due at `now`, or never if updates are pushed without a request.
+    /// Creates the schedule. The first request is due at `now`, or never if updates are pushed without a request.
     pub(super) fn new(now: Time, is_pushed: bool) -> Self {
         MembershipRequest {
-            due: if is_pushed { Time::MAX } else { now },
+            due_at: if is_pushed { Time::MAX } else { now },
             backoff: MEMBERSHIP_BACKOFF_FIRST,
         }
     }
@@ -26,14 +26,14 @@
         let backoff = self.backoff;
         match scope {
             Scope::Failed => {
-                self.due = now + backoff;
+                self.due_at = now + backoff;
                 self.backoff = (2 * backoff)
                     .min(MEMBERSHIP_BACKOFF_MAX)
                     .min(refresh_within);
             }
             Scope::Cached => {}
             _ => {
-                self.due = Time::MAX;
+                self.due_at = Time::MAX;
                 self.backoff = MEMBERSHIP_BACKOFF_FIRST;
             }
         }
@@ -41,9 +41,9 @@
 
     /// Whether a request is due. If so, the next one becomes due after `refresh_within`, unless an answer comes.
     pub(super) fn take_due(&mut self, now: Time, refresh_within: Time) -> bool {
-        let is_due = now >= self.due;
+        let is_due = now >= self.due_at;
         if is_due {
-            self.due = now + refresh_within;
+            self.due_at = now + refresh_within;
         }
         is_due
     }
--- a/crates/decisions/src/dispatcher/observations.rs
+++ b/crates/decisions/src/dispatcher/observations.rs
@@ -25,20 +25,20 @@
         let own_fraction = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
         let jobs_per_report =
             REPORT_AGE * self.run_times.weight.max(1.0) / self.run_times.sum.max(1.0);
-        let age = (jobs_per_report.max(own_fraction).min(1.0) * PROBE_AGE as f64) as Time;
+        let recent_age = (jobs_per_report.max(own_fraction).min(1.0) * PROBE_AGE as f64) as Time;
         let sample = self.sample(now, id);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let target = self.settings.classes[open.job.class].latency_target;
+        let latency_target = self.settings.classes[open.job.class].latency_target;
         for index in &sample {
             let worker = &mut self.fleet[*index];
-            let known_at = worker.load_updated_at.unwrap_or(0).max(worker.probed_at);
-            let is_recent = known_at + age > now;
+            let load_known_at = worker.load_updated_at.unwrap_or(0).max(worker.probed_at);
+            let is_recent = load_known_at + recent_age > now;
             if !is_recent && self.overhead.covers(self.settings.charges.probe) {
                 self.overhead.start_probe(self.settings.charges.probe);
                 worker.probed_at = now;
-                open.wait_until = now + (target as f64 * PROBE_WAIT) as Time;
+                open.wait_until = now + (latency_target as f64 * PROBE_WAIT) as Time;
                 out.push(Action::Probe {
                     worker: worker.listed.worker,
                 });
@@ -73,20 +73,22 @@
     pub(super) fn handle_load(&mut self, now: Time, index: usize, load: &Load) {
         let (worker, kind) = self.fleet.worker_and_kind_mut(index);
         let nothing_waits = load.queue.is_none_or(|queue| queue < EMPTY_QUEUE);
-        let free = load.free_slots.filter(|free| *free >= FREE_SLOTS_MIN);
-        if let Some(free) = free.filter(|_| nothing_waits) {
+        let free_slots = load
+            .free_slots
+            .filter(|free_slots| *free_slots >= FREE_SLOTS_MIN);
+        if let Some(free_slots) = free_slots.filter(|_| nothing_waits) {
             // If nothing waits, occupied and free slots add up to all slots. A job may wait although a slot is free,
             // because it needs two.
             let is_first = load.inflight.is_some() && !kind.slots_reported;
             kind.slots_reported |= is_first;
-            let known = if is_first { 1.0 } else { kind.slots };
-            let slots = load.inflight.unwrap_or(0.0) + free - SLOTS_ROUNDING;
-            kind.slots = known.max(slots.round());
+            let known_slots = if is_first { 1.0 } else { kind.slots };
+            let slots = load.inflight.unwrap_or(0.0) + free_slots - SLOTS_ROUNDING;
+            kind.slots = known_slots.max(slots.round());
         }
-        let implied = load.free_slots.map(|free| kind.slots - free);
-        if let Some(occupied) = load.inflight.or(implied) {
+        let implied_slots = load.free_slots.map(|free_slots| kind.slots - free_slots);
+        if let Some(occupied_slots) = load.inflight.or(implied_slots) {
             // The report is older than this event, so the average of the own slots at about that time is subtracted.
-            worker.others_slots = (occupied - worker.update_running_slots(now)).max(0.0);
+            worker.others_slots = (occupied_slots - worker.update_running_slots(now)).max(0.0);
             worker.load_updated_at = Some(now);
         }
     }
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -8,12 +8,12 @@
 impl Dispatcher {
     /// Applies new settings.
     pub(super) fn reconfigure(&mut self, mut settings: Settings) {
-        let present = std::mem::take(&mut self.settings.classes);
-        let wanted = std::mem::replace(&mut settings.classes, present);
+        let current_classes = std::mem::take(&mut self.settings.classes);
+        let new_classes = std::mem::replace(&mut settings.classes, current_classes);
         self.arrivals
             .add_tenants(settings.tenants.iter().map(|tenant| tenant.fraction));
         self.settings = settings;
-        for (id, class) in wanted.into_iter().enumerate() {
+        for (id, class) in new_classes.into_iter().enumerate() {
             self.replace_class(id, class);
         }
     }
@@ -21,11 +21,11 @@
     /// Stores changed rules of a class at an index that no open request uses. Unused indices are reused, so that the
     /// tables stay small.
     fn replace_class(&mut self, id: usize, class: Class) {
-        let known = self.class_of.get(id).copied();
-        if known.is_some_and(|index| self.settings.classes[index] == class) {
+        let current_index = self.class_of.get(id).copied();
+        if current_index.is_some_and(|index| self.settings.classes[index] == class) {
             return;
         }
-        let stats = known.map_or_else(
+        let stats = current_index.map_or_else(
             || ClassStats::of(&class),
             |index| self.classes[index].clone(),
         );
--- a/crates/decisions/src/dispatcher/retry_budget.rs
+++ b/crates/decisions/src/dispatcher/retry_budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
-    pub(super) fn left(&mut self, now: Time, budget: Option<ResendBudget>) -> f64 {
+    pub(super) fn remaining_retries(&mut self, now: Time, budget: Option<ResendBudget>) -> f64 {
         let Some(budget) = budget else {
             return f64::INFINITY;
         };
@@ -41,12 +41,12 @@
                 .window
                 .map_or(unlimited, |window| now.saturating_sub(window))
         };
-        let expired = self
+        let expired_requests = self
             .accepted_at
             .partition_point(|at| *at <= window_start(now));
-        self.accepted_at.drain(..expired);
-        let expired = self.retried_at.partition_point(|at| *at < window_start(0));
-        self.retried_at.drain(..expired);
+        self.accepted_at.drain(..expired_requests);
+        let expired_retries = self.retried_at.partition_point(|at| *at < window_start(0));
+        self.retried_at.drain(..expired_retries);
         budget.free + budget.ratio * self.accepted_at.len() as f64 - self.retried_at.len() as f64
     }
 
@@ -59,8 +59,8 @@
     /// Adds retries of the former process. Since statistics may be merged twice, retries with a known time are skipped.
     pub(super) fn merge(&mut self, now: Time, retried_at: Vec<Time>) {
         let is_new = |at: &Time| *at <= now && self.retried_at.binary_search(at).is_err();
-        let new: Vec<Time> = retried_at.into_iter().filter(is_new).collect();
-        self.retried_at.extend(new);
+        let new_retries: Vec<Time> = retried_at.into_iter().filter(is_new).collect();
+        self.retried_at.extend(new_retries);
         self.retried_at.make_contiguous().sort_unstable();
     }
 }
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -83,17 +83,17 @@
             (None, true) => HOME_FIRST_TIERS,
             (None, false) => ANY_ZONE_TIERS,
         };
-        let mut found = Vec::new();
+        let mut sampled_workers = Vec::new();
         for capacity in [Capacity::FreeSlot, Capacity::FreeQueue] {
             for tier in tiers {
                 let is_unlikely = capacity == Capacity::FreeQueue || tier.is_fallback;
-                if found.is_empty() && self.may_wait(is_unlikely) {
-                    found = self.sample_tier(now, &mut rng, &request, tier, capacity);
+                if sampled_workers.is_empty() && self.may_wait(is_unlikely) {
+                    sampled_workers = self.sample_tier(now, &mut rng, &request, tier, capacity);
                 }
             }
         }
         self.rng = rng;
-        found
+        sampled_workers
     }
 
     /// Samples kinds in an order drawn by their weights, until one of them has a worker for the request.
@@ -109,10 +109,10 @@
             request.bound_kind.is_none_or(|bound| bound == *kind) && self.tier_size(tier, *kind) > 0
         };
         let mut kinds: Vec<usize> = (0..self.fleet.kinds().len()).filter(is_candidate).collect();
-        let mut found = Vec::new();
-        while found.is_empty() && !kinds.is_empty() {
+        let mut sampled_workers = Vec::new();
+        while sampled_workers.is_empty() && !kinds.is_empty() {
             let kind = self.draw_kind(rng, request.affinity, tier, &mut kinds);
-            found = self.sample_kind(
+            sampled_workers = self.sample_kind(
                 now,
                 rng,
                 request,
@@ -120,7 +120,7 @@
                 capacity,
             );
         }
-        found
+        sampled_workers
     }
 
     /// Draws a kind by `p_k` and removes it from `kinds`, which must not be empty.
@@ -131,29 +131,29 @@
         tier: &Tier,
         kinds: &mut Vec<usize>,
     ) -> usize {
-        let solved = if affinity.is_some() {
+        let kind_weights = if affinity.is_some() {
             self.kind_weights.smoothed()
         } else {
             self.kind_weights.solved()
         };
         let weight = |kind: &usize| {
-            let of_kind = &self.fleet.kinds()[*kind];
-            let capacity = of_kind.slots.max(1.0) * of_kind.speed.speed * CAPACITY_WEIGHT;
-            solved.get(*kind).copied().unwrap_or(0.0)
+            let worker_kind = &self.fleet.kinds()[*kind];
+            let capacity = worker_kind.slots.max(1.0) * worker_kind.speed.speed * CAPACITY_WEIGHT;
+            kind_weights.get(*kind).copied().unwrap_or(0.0)
                 + self.tier_size(tier, *kind) as f64 * capacity
         };
-        let mut rest = random_fraction(rng) * kinds.iter().map(weight).sum::<f64>();
-        let drawn = match affinity {
+        let mut remaining_weight = random_fraction(rng) * kinds.iter().map(weight).sum::<f64>();
+        let drawn_position = match affinity {
             Some(affinity) => affinity::draw(
                 affinity,
                 kinds.iter().map(|kind| (*kind as u64, weight(kind))),
             ),
             None => kinds.iter().position(|kind| {
-                rest -= weight(kind);
-                rest < 0.0
+                remaining_weight -= weight(kind);
+                remaining_weight < 0.0
             }),
         };
-        kinds.swap_remove(drawn.unwrap_or(0))
+        kinds.swap_remove(drawn_position.unwrap_or(0))
     }
 
     /// Samples up to d eligible workers of the pool without replacement (SQ(d)). Requests with the same affinity take
@@ -166,13 +166,13 @@
         mut pool: Vec<usize>,
         capacity: Capacity,
     ) -> Vec<usize> {
-        let mut found = Vec::new();
-        while found.len() < SAMPLE_SIZE && !pool.is_empty() {
-            let drawn = (random_fraction(rng) * pool.len() as f64) as usize;
+        let mut sampled_workers = Vec::new();
+        while sampled_workers.len() < SAMPLE_SIZE && !pool.is_empty() {
+            let drawn_position = (random_fraction(rng) * pool.len() as f64) as usize;
             let index = if request.affinity.is_some() {
                 pool.remove(0)
             } else {
-                pool.swap_remove(drawn)
+                pool.swap_remove(drawn_position)
             };
             let worker = &self.fleet[index];
             let has_capacity = match capacity {
@@ -183,10 +183,10 @@
                 Capacity::FreeSlot => !self.is_expected_full(now, worker, 0.0),
             };
             if has_capacity && self.is_eligible(now, index, request.open, request.work) {
-                found.push(index);
+                sampled_workers.push(index);
             }
         }
-        found
+        sampled_workers
     }
 
     /// Workers of a tier and kind, ordered by their ranks if there is an affinity.
@@ -243,9 +243,9 @@
         let work = self.work(open.job.class, open.job.estimate);
         let home = self.home_worker(open)?;
         let worker = &self.fleet[home];
-        let takes = self.is_eligible(now, home, open, work)
+        let has_slot = self.is_eligible(now, home, open, work)
             && !self.is_expected_full(now, worker, self.fetch_slots(worker));
-        takes.then_some(home)
+        has_slot.then_some(home)
     }
 
     /// Number of jobs that a worker completes in the mean time of one fetch on another worker.
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -45,9 +45,9 @@
     const LATE: usize = 1;
 
     pub(super) fn new(class: usize, over_quota: bool, is_late: bool) -> Self {
-        let of_class =
+        let index_in_class =
             usize::from(over_quota) * Self::OVER_QUOTA + usize::from(is_late) * Self::LATE;
-        QueueIndex(class * Self::PER_CLASS + of_class)
+        QueueIndex(class * Self::PER_CLASS + index_in_class)
     }
 
     pub(super) fn class(self) -> usize {
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -108,8 +108,9 @@
 
     /// Slots that this dispatcher's jobs occupy at each worker where they occupy any.
     pub fn slots_in_flight(&self) -> Vec<(WorkerId, f64)> {
-        let busy = self.fleet.busy();
-        busy.map(|worker| (worker.listed.worker, worker.own_slots()))
+        let busy_workers = self.fleet.busy();
+        busy_workers
+            .map(|worker| (worker.listed.worker, worker.own_slots()))
             .collect()
     }
 
@@ -125,10 +126,12 @@
             self.merge_class(id as usize, class, run_weight);
         }
         for (id, worker) in other.workers {
-            let known = self.fleet.index_of(id).map(|index| &mut self.fleet[index]);
+            let known_worker = self.fleet.index_of(id).map(|index| &mut self.fleet[index]);
             // Statistics of an earlier instance of the worker do not apply.
-            if let Some(known) = known.filter(|known| known.listed.ready_at == worker.started_at) {
-                known.merge(now, &worker, fleet_weight);
+            if let Some(known_worker) = known_worker
+                .filter(|known_worker| known_worker.listed.ready_at == worker.started_at)
+            {
+                known_worker.merge(now, &worker, fleet_weight);
             }
         }
         let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -38,7 +38,7 @@
         let waits_long = |a: &&Attempt| {
             !a.done && !a.timed_out && a.started.is_none() && now >= a.sent + MOVE_WAIT
         };
-        let Some(from) = open
+        let Some(current_worker) = open
             .job
             .attempts
             .last()
@@ -47,22 +47,23 @@
         else {
             return;
         };
-        let made = open.job.attempts.len();
-        let limit = open
+        let attempt_count = open.job.attempts.len();
+        let max_attempts = open
             .job
             .attempt_limit
             .min(self.settings.limits.attempts as usize);
         let is_unsafe = self.settings.classes[open.job.class].effect == Effect::Unsafe;
-        if made + 1 >= limit || is_unsafe {
+        if attempt_count + 1 >= max_attempts || is_unsafe {
             return;
         }
         let sample = self.sample(now, id);
-        let is_better =
-            |index: &usize| *index != from && !self.is_expected_full(now, &self.fleet[*index], 0.0);
+        let is_better = |index: &usize| {
+            *index != current_worker && !self.is_expected_full(now, &self.fleet[*index], 0.0)
+        };
         if sample.iter().any(is_better) {
             out.push(Action::Cancel {
                 request: id,
-                attempt: made as AttemptNo - 1,
+                attempt: attempt_count as AttemptNo - 1,
             });
         } else {
             self.reviews.schedule(now + REVIEW_TICKS * self.tick(), id);
@@ -78,12 +79,12 @@
         } else {
             OVERDUE_FIRST_INTERVALS
         };
-        let wait = intervals * self.settings.progress as f64;
-        let reports = self.settings.reports_start && wait > 0.0;
+        let report_timeout = intervals * self.settings.progress as f64;
+        let sends_reports = self.settings.reports_start && report_timeout > 0.0;
         match attempt.started {
-            Some(_) if reports => {
+            Some(_) if sends_reports => {
                 let slack = REPORT_SLACK_GRANULARITIES * self.settings.granularity;
-                at.saturating_add(wait as Time + slack)
+                at.saturating_add(report_timeout as Time + slack)
             }
             None if attempt.unacknowledged => 0,
             _ => Time::MAX,
@@ -93,12 +94,12 @@
     /// Times out an attempt whose progress report is overdue: its slots count as free. If the class allows, the request
     /// is moved, or also sent to another worker.
     pub(super) fn handle_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let retries = self.retries_left(now);
+        let remaining_retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let may_retry = retries >= 1.0 && now < self.sendable_until(open);
-        let moves = self.settings.limits.moves_waiting_requests();
+        let may_retry = remaining_retries >= 1.0 && now < self.sendable_until(open);
+        let moves_waiting = self.settings.limits.moves_waiting_requests();
         let is_overdue = |a: &Attempt| !a.done && !a.timed_out && now >= self.overdue_at(a);
         if let Some(number) = open.job.attempts.iter().position(is_overdue) {
             let attempt = number as AttemptNo;
@@ -109,7 +110,7 @@
                     attempt,
                 },
             );
-            if may_retry && moves {
+            if may_retry && moves_waiting {
                 // The outcome of the cancelled attempt triggers the next send.
                 out.push(Action::Cancel {
                     request: id,
@@ -117,7 +118,7 @@
                 });
             }
         }
-        if may_retry && moves {
+        if may_retry && moves_waiting {
             self.move_waiting(now, id, out);
         }
         let has_none_responsive =
@@ -141,17 +142,17 @@
         let attempt = &mut open.job.attempts[id.attempt as usize];
         attempt.timed_out = true;
         let index = attempt.worker;
-        let waited = now - attempt.sent.max(attempt.last_progress.at);
+        let wait_duration = now - attempt.sent.max(attempt.last_progress.at);
         self.fleet.release_slots(now, index, id, slots);
         if self.settings.limits.moves_waiting_requests() {
             // The attempt will be cancelled and cannot show when the worker responds again: eject the worker for as
             // long as it took to notice the time-out, multiplied by the number of time-outs in a row.
             let worker = &mut self.fleet[index];
             worker.timeouts_in_a_row += u32::from(now >= worker.ejected_until);
-            let ejection = waited
+            let ejection_duration = wait_duration
                 .saturating_mul(worker.timeouts_in_a_row.into())
                 .min(EJECTION_MAX as Time);
-            worker.ejected_until = worker.ejected_until.max(now + ejection);
+            worker.ejected_until = worker.ejected_until.max(now + ejection_duration);
         }
         self.record_outcome(now, index, Status::Timeout);
     }
--- a/crates/decisions/src/dispatcher/wait_window.rs
+++ b/crates/decisions/src/dispatcher/wait_window.rs
@@ -30,7 +30,7 @@
     }
 
     /// Reduces the window to that of another dispatcher if that is smaller.
-    pub(super) fn restrict(&mut self, other: f64) {
-        self.0 = self.0.min(other);
+    pub(super) fn restrict(&mut self, other_window: f64) {
+        self.0 = self.0.min(other_window);
     }
 }
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -20,8 +20,9 @@
         }
         let rules = &self.settings.rules;
         let age = now.saturating_sub(worker.listed.ready_at) as f64;
-        let initial = rules.initial_capacity.clamp(INITIAL_FRACTION_MIN, 1.0);
-        let fraction = initial + (1.0 - initial) * age / rules.warm_after.max(1) as f64;
+        let initial_fraction = rules.initial_capacity.clamp(INITIAL_FRACTION_MIN, 1.0);
+        let fraction =
+            initial_fraction + (1.0 - initial_fraction) * age / rules.warm_after.max(1) as f64;
         fraction.min(1.0)
     }
 
@@ -36,15 +37,18 @@
         let rules = &self.settings.rules;
         let dispatchers = u64::from(self.settings.dispatchers);
         let budget = rules.tip_multiple * WARM_UP_USE * self.capacity(worker);
-        let least = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
-        let jobs = (least * self.run_times.weight / self.run_times.sum.max(1.0)) as u64;
-        let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
+        let initial_work = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
+        let affordable_jobs =
+            (initial_work * self.run_times.weight / self.run_times.sum.max(1.0)) as u64;
+        let part_count = affordable_jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
         // The dispatchers with a part of the budget start at a different index for each worker. All dispatchers compute
         // the same index.
-        let first = u64::from(worker.listed.worker).wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 32;
-        let has_part = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
+        let first_dispatcher =
+            u64::from(worker.listed.worker).wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 32;
+        let has_part =
+            first_dispatcher.wrapping_sub(u64::from(self.settings.me)) % dispatchers < part_count;
         Some(if has_part {
-            budget * fraction / parts as f64
+            budget * fraction / part_count as f64
         } else {
             0.0
         })
@@ -57,8 +61,8 @@
             return f64::INFINITY;
         };
         let budget = worker.warm_up_budget;
-        let accumulated = budget.value + rate * now.saturating_sub(budget.at) as f64;
-        let most = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
-        accumulated.min(work.max(most))
+        let accumulated_budget = budget.value + rate * now.saturating_sub(budget.at) as f64;
+        let max_accumulated = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
+        accumulated_budget.min(work.max(max_accumulated))
     }
 }
--- a/crates/decisions/src/dispatcher/zone_preference.rs
+++ b/crates/decisions/src/dispatcher/zone_preference.rs
@@ -48,8 +48,8 @@
         let fraction = self.late_starts.of_zone(is_home);
         *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
         let LateStartRate { away, home } = self.late_starts;
-        let gain = home - away - CROSSING_LATE_STARTS * crossing_price;
-        self.home = (self.home - LATE_STEP * gain).clamp(0.0, 1.0);
+        let late_rate_excess = home - away - CROSSING_LATE_STARTS * crossing_price;
+        self.home = (self.home - LATE_STEP * late_rate_excess).clamp(0.0, 1.0);
     }
 
     /// Continues from the values of another dispatcher, whose deviation from the initial values is multiplied by
--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -28,12 +28,12 @@
         let steps = service.queue().iter().filter_map(|key| {
             let job = self.jobs.get(&key.step_ref.job)?;
             let step = job.step(key.step_ref.step)?;
-            let waiting = job.step_state(key.step_ref)?.waiting().len();
+            let waiting_tasks = job.step_state(key.step_ref)?.waiting().len();
             let class = job.class(key.step_ref.step);
             let run_ms = service
                 .kinds()
                 .expected_at_mean_speed_ms(&class, step.estimate_ms);
-            Some(waiting as f64 * run_ms * fraction_of_service(step, &capacity))
+            Some(waiting_tasks as f64 * run_ms * fraction_of_service(step, &capacity))
         });
         steps.sum::<f64>() as u64
     }
@@ -41,9 +41,9 @@
 
 /// Dominant share of the service's capacity that one task takes. A resource of which there is none counts as one unit.
 fn fraction_of_service(step: &Step, capacity: &Resources) -> f64 {
-    let fraction = |taken: u64, all: u64| {
-        if taken > 0 {
-            taken as f64 / all.max(1) as f64
+    let fraction = |task_amount: u64, total_amount: u64| {
+        if task_amount > 0 {
+            task_amount as f64 / total_amount.max(1) as f64
         } else {
             0.0
         }
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -64,24 +64,28 @@
     /// Applies a new configuration: open jobs whose route has another service or other terms are moved to these. Jobs of a
     /// route that was removed stay as they are.
     pub(crate) fn configure(&mut self, cluster: &mut Cluster, config: Arc<Config>) {
-        let before = self.config.replace(config.clone());
+        let former_config = self.config.replace(config.clone());
         for service in &config.services {
             cluster.services_mut().entry(&service.name);
         }
-        let known = before.iter().flat_map(|before| &before.routes);
-        let known: Vec<&Route> = known.collect();
-        let changed: Vec<&Route> = config
+        let former_routes = former_config
+            .iter()
+            .flat_map(|former_config| &former_config.routes);
+        let former_routes: Vec<&Route> = former_routes.collect();
+        let changed_routes: Vec<&Route> = config
             .routes
             .iter()
-            .filter(|route| !known.iter().any(|old| has_same_target(old, route)))
+            .filter(|route| !former_routes.iter().any(|old| has_same_target(old, route)))
             .collect();
-        if changed.is_empty() {
+        if changed_routes.is_empty() {
             return;
         }
-        let open = cluster.jobs().iter().filter(|(_, job)| !job.has_ended());
-        let jobs: Vec<(JobId, &Route)> = open
+        let open_jobs = cluster.jobs().iter().filter(|(_, job)| !job.has_ended());
+        let jobs: Vec<(JobId, &Route)> = open_jobs
             .filter_map(|(id, job)| {
-                let route = changed.iter().find(|route| route.name == job.route())?;
+                let route = changed_routes
+                    .iter()
+                    .find(|route| route.name == job.route())?;
                 let moves = job.service() != route.backend || *job.terms() != terms(route);
                 moves.then_some((*id, *route))
             })
@@ -101,17 +105,17 @@
         let Some(route) = config.route(&call.host, &call.path) else {
             return Answer::immediate(ClientOutcome::UnknownRoute);
         };
-        let rest = call
+        let id_text = call
             .path
             .strip_prefix(route.path_prefix.as_str())
             .unwrap_or_default();
-        match (call.operation, rest.parse::<JobId>()) {
+        match (call.operation, id_text.parse::<JobId>()) {
             (ClientOperation::Submit(spec), Ok(id)) => submit(cluster, id, route, spec),
             (ClientOperation::Submit(_), Err(error)) => Answer::immediate(ClientOutcome::Invalid {
                 reason: error.to_string(),
             }),
             (ClientOperation::Get, Ok(id)) => state_of(cluster, id),
-            (ClientOperation::Get, Err(_)) if rest.is_empty() => {
+            (ClientOperation::Get, Err(_)) if id_text.is_empty() => {
                 let pending = cluster.jobs().pending(&route.name);
                 Answer::immediate(ClientOutcome::Pending(pending))
             }
@@ -124,9 +128,9 @@
 /// Accepts a job unless it is invalid or too many jobs or tasks are open. A job that is already known is accepted again
 /// without effect, so clients may retry.
 fn submit(cluster: &mut Cluster, id: JobId, route: &Route, spec: JobSpec) -> Answer {
-    if let Some(known) = cluster.jobs().get(&id) {
+    if let Some(existing_job) = cluster.jobs().get(&id) {
         return Answer {
-            after_write: known.last_write(),
+            after_write: existing_job.last_write(),
             outcome: ClientOutcome::Accepted,
         };
     }
@@ -192,12 +196,12 @@
     let Some(job) = cluster.jobs().get(&id) else {
         return Answer::immediate(ClientOutcome::NoSuchJob);
     };
-    let unended = if job.is_started() {
+    let open_state = if job.is_started() {
         JobState::Running
     } else {
         JobState::Queued
     };
-    let state = job.end().map_or(unended, |end| end.state);
+    let state = job.end().map_or(open_state, |end| end.state);
     Answer {
         after_write: job.last_write(),
         outcome: ClientOutcome::State(state),
@@ -220,8 +224,10 @@
 }
 
 /// Whether a route has the same service and terms as in the former configuration.
-fn has_same_target(before: &Route, route: &Route) -> bool {
-    before.name == route.name && before.backend == route.backend && terms(before) == terms(route)
+fn has_same_target(former_route: &Route, route: &Route) -> bool {
+    former_route.name == route.name
+        && former_route.backend == route.backend
+        && terms(former_route) == terms(route)
 }
 
 /// The scheduling terms of a route.
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -82,10 +82,10 @@
             (self.offset_ms, self.candidate) = (offset_ms, None);
             return;
         }
-        let lasting = self
+        let same_candidate = self
             .candidate
             .filter(|c| (c.offset_ms - offset_ms).abs() <= DRIFT_MS);
-        let since_ms = lasting.map_or(now_ms, |c| c.since_ms);
+        let since_ms = same_candidate.map_or(now_ms, |c| c.since_ms);
         self.candidate = Some(OffsetCandidate {
             offset_ms,
             since_ms,
--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -144,8 +144,8 @@
     }
 
     /// Takes a step out of its service's queue.
-    pub(crate) fn dequeue(&mut self, at: StepRef) {
-        self.jobs.dequeue(at);
+    pub(crate) fn dequeue(&mut self, step_ref: StepRef) {
+        self.jobs.dequeue(step_ref);
         self.process_job_events();
     }
 
@@ -159,11 +159,11 @@
             clock.steady_ms(job.due_wall_ms(repeat).unwrap_or(accepted_wall_ms))
         };
         let job = rows.restore(&mut self.workers, now_ms, due_ms);
-        for outstanding in job.outstanding_runs(id) {
-            let task = outstanding.run.task;
+        for outstanding_run in job.outstanding_runs(id) {
+            let task = outstanding_run.run.task;
             let step = job.step(task.step);
             let resources = step.map(indigofold_protocol::job::Step::resources);
-            if let Some(worker) = self.workers.get_mut(outstanding.worker) {
+            if let Some(worker) = self.workers.get_mut(outstanding_run.worker) {
                 worker.occupy(task, &resources.unwrap_or_default(), false);
             }
         }
@@ -186,8 +186,8 @@
     }
 
     /// Records that a pass over the queue considered the step, and why its tasks still wait.
-    pub(crate) fn record_wait(&mut self, at: StepRef, cause: Cause) {
-        self.jobs.record_wait(at, cause, self.clock.now_ms());
+    pub(crate) fn record_wait(&mut self, step_ref: StepRef, cause: Cause) {
+        self.jobs.record_wait(step_ref, cause, self.clock.now_ms());
     }
 
     /// Requests that the workers of a service be grouped into kinds again, as some were added, ended or changed. An empty
--- a/crates/scheduler/src/cluster/checkpoints.rs
+++ b/crates/scheduler/src/cluster/checkpoints.rs
@@ -19,18 +19,18 @@
     /// not updated.
     pub(crate) fn write_checkpoints(&mut self) {
         let now_ms = self.clock.now_ms();
-        let overdue = self
+        let overdue_job = self
             .jobs
             .unwritten_checkpoints(OWN_WRITE_AGE_MS, now_ms)
             .next();
-        if overdue.is_none() && !self.outbox.has_changes() {
+        if overdue_job.is_none() && !self.outbox.has_changes() {
             return;
         }
-        let included: Vec<JobId> = self
+        let included_jobs: Vec<JobId> = self
             .jobs
             .unwritten_checkpoints(JOIN_WRITE_AGE_MS, now_ms)
             .collect();
-        for id in included {
+        for id in included_jobs {
             self.outbox.progress_changed(id);
         }
     }
--- a/crates/scheduler/src/cluster/instances.rs
+++ b/crates/scheduler/src/cluster/instances.rs
@@ -15,10 +15,10 @@
             return;
         };
         worker.record_answer(now_ms);
-        let before = worker.backend().to_owned();
-        let changed = worker.apply_report(now_ms, report) | worker.clear_expiry();
-        if changed {
-            self.regroup(&before);
+        let former_backend = worker.backend().to_owned();
+        let has_changed = worker.apply_report(now_ms, report) | worker.clear_expiry();
+        if has_changed {
+            self.regroup(&former_backend);
             self.regroup(&report.backend);
         }
     }
--- a/crates/scheduler/src/cluster/learning.rs
+++ b/crates/scheduler/src/cluster/learning.rs
@@ -11,20 +11,20 @@
 impl Cluster {
     /// Updates the statistics after the end of a run. Only a run that ended `done` and did all of the work gives a sample
     /// of the run time.
-    pub(super) fn learn_from(&mut self, ended: &RunEnded) {
-        match ended.result {
-            RunResult::Ended(RunEnd::Done) if !ended.traits.long_running => {
-                self.learn_from_success(ended);
+    pub(super) fn learn_from(&mut self, ended_run: &RunEnded) {
+        match ended_run.result {
+            RunResult::Ended(RunEnd::Done) if !ended_run.traits.long_running => {
+                self.learn_from_success(ended_run);
             }
-            RunResult::Ended(RunEnd::Failed) => self.learn_from_failure(ended),
+            RunResult::Ended(RunEnd::Failed) => self.learn_from_failure(ended_run),
             _ => {}
         }
     }
 
     /// Records a sample of the kind's speed and the class's run time, unless the run was resumed, and a success for the
     /// worker's health.
-    fn learn_from_success(&mut self, ended: &RunEnded) {
-        let RunEnded { run, traits, .. } = ended;
+    fn learn_from_success(&mut self, ended_run: &RunEnded) {
+        let RunEnded { run, traits, .. } = ended_run;
         let now_ms = self.clock.now_ms();
         let run_ms = now_ms.saturating_sub(run.placed_ms()) as f64 / run.remote_factor().max(1.0);
         let kinds = self.services.entry(&traits.service).kinds_mut();
@@ -41,9 +41,9 @@
 
     /// Records a failure for the worker's health. The failure is doubtful, as the job may be at fault, if the job has failed
     /// on other workers too or the task is long-running.
-    fn learn_from_failure(&mut self, ended: &RunEnded) {
-        let is_doubtful = ended.failed_elsewhere || ended.traits.long_running;
-        if let Some(worker) = self.workers.get_mut(ended.run.worker()) {
+    fn learn_from_failure(&mut self, ended_run: &RunEnded) {
+        let is_doubtful = ended_run.failed_elsewhere || ended_run.traits.long_running;
+        if let Some(worker) = self.workers.get_mut(ended_run.run.worker()) {
             worker
                 .health_mut()
                 .record_failure(self.clock.now_ms(), is_doubtful);
--- a/crates/scheduler/src/cluster/queue_order.rs
+++ b/crates/scheduler/src/cluster/queue_order.rs
@@ -21,8 +21,8 @@
             });
             let keys: Vec<QueueKey> = keys.collect();
             for key in keys {
-                if let Some(before) = self.jobs.reposition(key) {
-                    service.reposition(&before, key);
+                if let Some(former_key) = self.jobs.reposition(key) {
+                    service.reposition(&former_key, key);
                 }
             }
         }
--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -29,21 +29,25 @@
 
     /// Prepares a gang for its start: all members will resume from its newest checkpoint. Returns the attempt number that
     /// they share.
-    pub(crate) fn prepare_gang(&mut self, at: StepRef) -> Option<u32> {
-        self.jobs.prepare_gang(at)
+    pub(crate) fn prepare_gang(&mut self, step_ref: StepRef) -> Option<u32> {
+        self.jobs.prepare_gang(step_ref)
     }
 
     /// Sends the start order of a run whose placement is committed. If the run was stopped, its job has ended or its worker
     /// cannot be reached, the run ends as not started instead.
     pub(crate) fn send_start(&mut self, run: RunId) {
-        let Some(unsent) = self.jobs.run(&run).filter(|unsent| !unsent.is_sent()) else {
+        let Some(unsent_run) = self
+            .jobs
+            .run(&run)
+            .filter(|unsent_run| !unsent_run.is_sent())
+        else {
             return;
         };
         let job = self.jobs.get(&run.task.job);
-        let wanted = unsent.stop().is_none() && job.is_some_and(|job| !job.has_ended());
-        let worker = self.workers.get(unsent.worker());
-        let reachable = worker.is_some_and(|worker| worker.order_connection().is_some());
-        if !reachable || !wanted {
+        let is_wanted = unsent_run.stop().is_none() && job.is_some_and(|job| !job.has_ended());
+        let worker = self.workers.get(unsent_run.worker());
+        let is_reachable = worker.is_some_and(|worker| worker.order_connection().is_some());
+        if !is_reachable || !is_wanted {
             return self.end_run(run, RunResult::NotStarted, "");
         }
         self.jobs.record_sent(&run, self.clock.now_ms());
@@ -59,16 +63,16 @@
 
     /// Stops a run immediately; for a member of a gang, all runs of the gang.
     pub(crate) fn stop_run(&mut self, run: RunId) {
-        let at = StepRef::of(&run.task);
-        let gang = self.jobs.step(at).is_some_and(|step| step.gang);
-        if !gang {
+        let step_ref = StepRef::of(&run.task);
+        let is_gang = self.jobs.step(step_ref).is_some_and(|step| step.gang);
+        if !is_gang {
             return self.stop_single_run(run);
         }
         let members = self
             .jobs
-            .step_state(at)
+            .step_state(step_ref)
             .map_or(0, |state| state.tasks().len() as u32);
-        (0..members).for_each(|index| self.stop_task(at.task(index)));
+        (0..members).for_each(|index| self.stop_task(step_ref.task(index)));
     }
 
     /// Stops one run immediately, without the other members of its gang. A run whose start order has not been sent ends as
@@ -117,12 +121,18 @@
 
     /// Records that a report of this worker lists the run as running, with its progress and checkpoint; returns `false` if
     /// the run is not outstanding there.
-    pub(crate) fn record_listed(&mut self, worker: WorkerId, listed: &RunningRun) -> bool {
-        let (run, now_ms) = (&listed.run, self.clock.now_ms());
-        if !self.jobs.record_listed(run, worker, listed.percent, now_ms) {
+    pub(crate) fn record_listed(&mut self, worker: WorkerId, listed_run: &RunningRun) -> bool {
+        let (run, now_ms) = (&listed_run.run, self.clock.now_ms());
+        if !self
+            .jobs
+            .record_listed(run, worker, listed_run.percent, now_ms)
+        {
             return false;
         }
-        if self.jobs.store_checkpoint(&run.task, &listed.checkpoint) {
+        if self
+            .jobs
+            .store_checkpoint(&run.task, &listed_run.checkpoint)
+        {
             self.checkpoint_changed(worker, &run.task);
         }
         true
@@ -136,15 +146,21 @@
     /// Ends a run: frees its capacity, updates the statistics and its job; `checkpoint` is its last one, or empty. No
     /// effect if the run is not outstanding.
     pub(crate) fn end_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
-        let ended = self.jobs.end_run(run, result, checkpoint, &self.clock);
-        let Some(ended) = ended else {
+        let ended_run = self.jobs.end_run(run, result, checkpoint, &self.clock);
+        let Some(ended_run) = ended_run else {
             return;
         };
-        if let Some(worker) = self.workers.get_mut(ended.run.worker()) {
-            worker.release(&run.task, &ended.traits.resources, ended.run.is_bound());
+        if let Some(worker) = self.workers.get_mut(ended_run.run.worker()) {
+            worker.release(
+                &run.task,
+                &ended_run.traits.resources,
+                ended_run.run.is_bound(),
+            );
         }
-        self.services.entry(&ended.traits.service).request_pass();
-        self.learn_from(&ended);
+        self.services
+            .entry(&ended_run.traits.service)
+            .request_pass();
+        self.learn_from(&ended_run);
         self.process_job_events();
     }
 
--- a/crates/scheduler/src/cluster/writes.rs
+++ b/crates/scheduler/src/cluster/writes.rs
@@ -20,23 +20,23 @@
         Some(Effect::Write { write, changes })
     }
 
-    fn row_changes(&self, changed: ChangedRows) -> Vec<RowChange> {
+    fn row_changes(&self, changed_rows: ChangedRows) -> Vec<RowChange> {
         let mut changes = Vec::new();
-        for id in changed.accepted.difference(&changed.closed) {
+        for id in changed_rows.accepted.difference(&changed_rows.closed) {
             let job = self.jobs.get(id);
             let definition = job.map(|job| rows::definition_bytes(job.definition()));
-            changes.extend(definition.map(|value| set(RowKey::Job(*id), value)));
+            changes.extend(definition.map(|value| row_write(RowKey::Job(*id), value)));
         }
-        for id in changed.progress.difference(&changed.removed) {
+        for id in changed_rows.progress.difference(&changed_rows.removed) {
             let job = self.jobs.get(id);
             let progress = job.map(|job| rows::progress_bytes(job, &self.workers));
-            changes.extend(progress.map(|value| set(RowKey::Progress(*id), value)));
+            changes.extend(progress.map(|value| row_write(RowKey::Progress(*id), value)));
         }
-        let closed = changed.closed.into_iter();
-        changes.extend(closed.map(|id| delete(RowKey::Job(id))));
-        let removed = changed.removed.into_iter();
-        changes.extend(removed.map(|id| delete(RowKey::Progress(id))));
-        for (instance, node_name) in changed.instances {
+        let closed_jobs = changed_rows.closed.into_iter();
+        changes.extend(closed_jobs.map(|id| row_deletion(RowKey::Job(id))));
+        let removed_jobs = changed_rows.removed.into_iter();
+        changes.extend(removed_jobs.map(|id| row_deletion(RowKey::Progress(id))));
+        for (instance, node_name) in changed_rows.instances {
             changes.push(RowChange {
                 key: instance_key(&instance),
                 value: node_name.map(String::into_bytes),
@@ -46,14 +46,16 @@
     }
 }
 
-fn set(key: RowKey, value: Vec<u8>) -> RowChange {
+/// The change that writes a job's row.
+fn row_write(key: RowKey, value: Vec<u8>) -> RowChange {
     RowChange {
         key: key.bytes(),
         value: Some(value),
     }
 }
 
-fn delete(key: RowKey) -> RowChange {
+/// The change that deletes a job's row.
+fn row_deletion(key: RowKey) -> RowChange {
     RowChange {
         key: key.bytes(),
         value: None,
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -29,7 +29,7 @@
     /// Maximum number of the step's tasks on one worker; 0 for no limit.
     pub anti_affinity: u32,
     /// Number of the step's outstanding runs on each worker; filled only if `anti_affinity` is set.
-    pub on_worker: FxHashMap<WorkerId, u32>,
+    pub runs_by_worker: FxHashMap<WorkerId, u32>,
     /// Class of the tasks, whose run times are learned together.
     pub class: Class,
     /// The client's estimate of a task's run time, in milliseconds; 0 for none.
@@ -69,10 +69,10 @@
     /// Returns the requirements of a step of the job, for placement on any rack; `None` if there is no such step.
     pub(crate) fn for_step(job: &Job, step_ref: StepRef, now_ms: u64) -> Option<StepDemand> {
         let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
-        let mut on_worker = FxHashMap::default();
+        let mut runs_by_worker = FxHashMap::default();
         if step.anti_affinity > 0 {
             for run in state.tasks().iter().flat_map(Task::runs) {
-                *on_worker.entry(run.worker()).or_default() += 1;
+                *runs_by_worker.entry(run.worker()).or_default() += 1;
             }
         }
         Some(StepDemand {
@@ -81,7 +81,7 @@
             label: step.requirements.clone(),
             affinity: step.affinity.clone(),
             anti_affinity: step.anti_affinity,
-            on_worker,
+            runs_by_worker,
             class: job.class(step_ref.step),
             estimate_ms: step.estimate_ms,
             waited_ms: now_ms.saturating_sub(state.waiting_since_ms()),
@@ -93,13 +93,13 @@
     }
 
     /// Whether the hard requirements (label, `anti_affinity`, free capacity) allow one more task on this worker, after
-    /// `extra` tasks of the step that are planned there.
-    pub(crate) fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
-        let there = self.on_worker.get(&id).copied().unwrap_or(0) + extra;
-        let spread = self.anti_affinity == 0 || there < self.anti_affinity;
+    /// `planned_tasks` tasks of the step that are already planned there.
+    pub(crate) fn permits(&self, id: WorkerId, worker: &Worker, planned_tasks: u32) -> bool {
+        let tasks_there = self.runs_by_worker.get(&id).copied().unwrap_or(0) + planned_tasks;
+        let is_below_limit = self.anti_affinity == 0 || tasks_there < self.anti_affinity;
         self.is_label_met(worker)
-            && spread
-            && worker.has_capacity(&multiply(&self.resources, u64::from(extra) + 1))
+            && is_below_limit
+            && worker.has_capacity(&multiply(&self.resources, u64::from(planned_tasks) + 1))
     }
 
     /// Whether the worker has the label that the step requires; `true` if it requires none.
@@ -124,13 +124,13 @@
     ) -> bool {
         let status = worker.health().status(now_ms);
         let may_use_suspected = self.waited_ms >= ANY_WORKER_MS;
-        let usable = match status {
+        let is_health_allowed = match status {
             HealthStatus::Healthy | HealthStatus::OnProbation => true,
             HealthStatus::Suspected => may_use_suspected,
         };
         match scope {
             Scope::Preferred => {
-                usable
+                is_health_allowed
                     && status != HealthStatus::Suspected
                     && self.is_local(worker)
                     && !failed_there
@@ -138,11 +138,13 @@
                     && !(self.avoids_idle_workers && worker.runs().is_empty())
             }
             Scope::Allowed => {
-                let rack_ms = (self.estimate_ms as f64 * (remote_slowdown - 1.0)) as u64;
-                let waited = self.locality == Locality::Anywhere
-                    && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
-                let placed_well = waited || self.is_local(worker);
-                usable && placed_well && (!failed_there || self.waited_ms >= FAILED_WORKER_WAIT_MS)
+                let rack_wait_ms = (self.estimate_ms as f64 * (remote_slowdown - 1.0)) as u64;
+                let has_waited = self.locality == Locality::Anywhere
+                    && self.waited_ms >= rack_wait_ms.min(RACK_WAIT_MAX_MS);
+                let is_rack_allowed = has_waited || self.is_local(worker);
+                is_health_allowed
+                    && is_rack_allowed
+                    && (!failed_there || self.waited_ms >= FAILED_WORKER_WAIT_MS)
             }
         }
     }
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -26,9 +26,9 @@
         if let Some(total_ms) = projected_total_ms(run) {
             return total_ms.saturating_sub(elapsed_ms);
         }
-        let left_ms = expected_ms * f64::from(100 - run.percent().min(100)) / 100.0;
+        let remaining_work_ms = expected_ms * f64::from(100 - run.percent().min(100)) / 100.0;
         let unreported_ms = if run.percent() == 0 { elapsed_ms } else { 0 };
-        (left_ms as u64).saturating_sub(unreported_ms)
+        (remaining_work_ms as u64).saturating_sub(unreported_ms)
     }
 
     /// Expected total run time of the task on this worker, in milliseconds, including the slowdown of a remote run; 0
@@ -50,7 +50,7 @@
 /// [`CONCLUSIVE_PERCENT`], and for runs that resumed from a checkpoint or were placed by a predecessor, as their
 /// progress says nothing about their time since placement.
 pub(crate) fn projected_total_ms(run: &Run) -> Option<u64> {
-    let conclusive = (CONCLUSIVE_PERCENT..100).contains(&run.percent()) && !run.is_resumed();
-    let elapsed_ms = run.percent_ms().saturating_sub(run.placed_ms());
-    conclusive.then(|| elapsed_ms * 100 / u64::from(run.percent()))
+    let is_conclusive = (CONCLUSIVE_PERCENT..100).contains(&run.percent()) && !run.is_resumed();
+    let elapsed_ms = run.percent_changed_at_ms().saturating_sub(run.placed_ms());
+    is_conclusive.then(|| elapsed_ms * 100 / u64::from(run.percent()))
 }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -21,12 +21,12 @@
         service: &ServiceState,
         keys: &[QueueKey],
     ) -> Option<u32> {
-        let first = keys.iter().find(|key| !key.hopeless)?;
-        let step = self.jobs.step(first.step_ref)?;
-        let small = step.cpu * SMALL_DIVISOR <= self.largest_capacity(service)
+        let first_key = keys.iter().find(|key| !key.hopeless)?;
+        let step = self.jobs.step(first_key.step_ref)?;
+        let is_small = step.cpu * SMALL_DIVISOR <= self.largest_capacity(service)
             && !step.gang
             && !step.long_running;
-        small.then_some(first.priority)
+        is_small.then_some(first_key.priority)
     }
 
     /// Whether the step has to leave headroom: recent small tasks have a higher priority, and the step is hopeless or
@@ -42,12 +42,12 @@
     /// CPU capacity that is free beyond the headroom, in thousandths of a core; negative if the headroom is partly
     /// used.
     pub(crate) fn free_beyond_headroom(&self, service: &ServiceState) -> f64 {
-        let beyond = |worker: &Worker| {
+        let free_cpu_beyond = |worker: &Worker| {
             worker.free().cpu as f64 - HEADROOM_FRACTION * worker.capacity().cpu as f64
         };
         self.workers_of(service)
             .filter(|worker| worker.accepts_starts(self.now_ms))
-            .map(beyond)
+            .map(free_cpu_beyond)
             .sum()
     }
 
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -33,20 +33,20 @@
     /// Exponential moving average of the logarithm of the slowdown (run time divided by expected run time).
     log_slowdown: f64,
     /// When the decay was last applied to the weights, on the monotonic clock.
-    updated_ms: u64,
+    updated_at_ms: u64,
     /// `None` while the worker is healthy.
-    suspected: Option<Suspicion>,
+    suspicion: Option<Suspicion>,
 }
 
 /// State of a worker that is suspected or on probation.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     /// When the probation begins.
-    probation_ms: u64,
+    probation_at_ms: u64,
     /// Time from the latest suspicion to probation.
     backoff_ms: u64,
     /// Whether a run was placed on probation whose result is not known yet.
-    probing: bool,
+    is_probing: bool,
 }
 
 /// Whether new runs may be placed on a worker.
@@ -67,8 +67,8 @@
             failures: 0.0,
             streak: 0.0,
             log_slowdown: 0.0,
-            updated_ms: 0,
-            suspected: None,
+            updated_at_ms: 0,
+            suspicion: None,
         }
     }
 }
@@ -82,16 +82,16 @@
         self.streak = 0.0;
         if let Some(slowdown) = slowdown {
             let sample = slowdown.clamp(0.1, 20.0).ln();
-            let keep = if self.suspected.is_some() {
+            let kept_fraction = if self.suspicion.is_some() {
                 0.0
             } else {
                 SLOWDOWN_KEEP
             };
-            self.log_slowdown = self.log_slowdown * keep + sample * (1.0 - keep);
+            self.log_slowdown = self.log_slowdown * kept_fraction + sample * (1.0 - kept_fraction);
         }
         if self.log_slowdown > SLOWDOWN_MAX.ln() {
             self.suspect(now_ms);
-        } else if self.suspected.take().is_some() {
+        } else if self.suspicion.take().is_some() {
             self.failures = 0.0;
         }
     }
@@ -104,7 +104,7 @@
         (self.failures, self.streak) = (self.failures + weight, self.streak + weight);
         let fails_often = self.failures >= SUSPECT_WEIGHT
             && self.failures >= SUSPECT_FRACTION * (self.successes + self.failures);
-        if self.suspected.is_some() || fails_often || self.streak >= SUSPECT_STREAK {
+        if self.suspicion.is_some() || fails_often || self.streak >= SUSPECT_STREAK {
             self.suspect(now_ms);
         }
     }
@@ -119,9 +119,9 @@
 
     /// Whether new runs may be placed on the worker now.
     pub(crate) fn status(&self, now_ms: u64) -> HealthStatus {
-        match self.suspected {
+        match self.suspicion {
             None => HealthStatus::Healthy,
-            Some(suspicion) if now_ms >= suspicion.probation_ms => HealthStatus::OnProbation,
+            Some(suspicion) if now_ms >= suspicion.probation_at_ms => HealthStatus::OnProbation,
             Some(_) => HealthStatus::Suspected,
         }
     }
@@ -130,37 +130,44 @@
     /// again. If no result comes within the backoff, a new probation begins.
     pub(crate) fn record_placement(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::OnProbation
-            && let Some(suspicion) = &mut self.suspected
+            && let Some(suspicion) = &mut self.suspicion
         {
-            (suspicion.probing, suspicion.probation_ms) = (true, now_ms + suspicion.backoff_ms);
+            (suspicion.is_probing, suspicion.probation_at_ms) =
+                (true, now_ms + suspicion.backoff_ms);
         }
     }
 
     /// Begins or prolongs the suspicion. The backoff doubles if the worker was on probation.
     fn suspect(&mut self, now_ms: u64) {
-        let backoff_ms = match self.suspected {
+        let backoff_ms = match self.suspicion {
             None => FIRST_PROBATION_MS,
-            Some(before) if before.probing || now_ms >= before.probation_ms => {
-                (before.backoff_ms * 2).min(PROBATION_BACKOFF_MAX_MS)
+            Some(former_suspicion)
+                if former_suspicion.is_probing || now_ms >= former_suspicion.probation_at_ms =>
+            {
+                (former_suspicion.backoff_ms * 2).min(PROBATION_BACKOFF_MAX_MS)
             }
-            Some(before) => before.backoff_ms,
+            Some(former_suspicion) => former_suspicion.backoff_ms,
         };
-        let probation_ms = self
-            .suspected
-            .map_or(0, |before| before.probation_ms)
+        let probation_at_ms = self
+            .suspicion
+            .map_or(0, |former_suspicion| former_suspicion.probation_at_ms)
             .max(now_ms + backoff_ms);
-        self.suspected = Some(Suspicion {
-            probation_ms,
+        self.suspicion = Some(Suspicion {
+            probation_at_ms,
             backoff_ms,
-            probing: false,
+            is_probing: false,
         });
     }
 
     /// Applies the decay since the last update to the weights of successes and failures.
     fn decay(&mut self, now_ms: u64) {
-        let keep = 0.5f64.powf(now_ms.saturating_sub(self.updated_ms) as f64 / HALF_LIFE_MS);
-        (self.successes, self.failures, self.updated_ms) =
-            (self.successes * keep, self.failures * keep, now_ms);
+        let kept_fraction =
+            0.5f64.powf(now_ms.saturating_sub(self.updated_at_ms) as f64 / HALF_LIFE_MS);
+        (self.successes, self.failures, self.updated_at_ms) = (
+            self.successes * kept_fraction,
+            self.failures * kept_fraction,
+            now_ms,
+        );
     }
 }
 
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -79,18 +79,18 @@
     }
 
     /// The description of a step as the client submitted it.
-    pub(crate) fn step(&self, at: StepRef) -> Option<&Step> {
-        self.get(&at.job)?.step(at.step)
+    pub(crate) fn step(&self, step_ref: StepRef) -> Option<&Step> {
+        self.get(&step_ref.job)?.step(step_ref.step)
     }
 
     /// The progress of a step; `None` unless its repetition is open.
-    pub(crate) fn step_state(&self, at: StepRef) -> Option<&StepState> {
-        self.get(&at.job)?.step_state(at)
+    pub(crate) fn step_state(&self, step_ref: StepRef) -> Option<&StepState> {
+        self.get(&step_ref.job)?.step_state(step_ref)
     }
 
     /// The properties of a step that matter for placing and evaluating its runs.
-    pub(crate) fn traits(&self, at: StepRef) -> Option<StepTraits> {
-        self.get(&at.job)?.traits(at.step)
+    pub(crate) fn traits(&self, step_ref: StepRef) -> Option<StepTraits> {
+        self.get(&step_ref.job)?.traits(step_ref.step)
     }
 
     /// Whether new jobs are rejected because a limit on open tasks, open jobs or all jobs in the table is reached.
@@ -143,18 +143,18 @@
         self.unwritten_checkpoints.insert(id);
     }
 
-    /// Jobs with unwritten checkpoints whose rows were last written at least `since_ms` ago.
+    /// Jobs with unwritten checkpoints whose rows were last written at least `min_age_ms` ago.
     pub(crate) fn unwritten_checkpoints(
         &self,
-        since_ms: u64,
+        min_age_ms: u64,
         now_ms: u64,
     ) -> impl Iterator<Item = JobId> {
         let age_ms = move |id: &JobId| {
             let job = self.by_id.get(id);
-            job.map_or(0, |job| now_ms.saturating_sub(job.written_ms()))
+            job.map_or(0, |job| now_ms.saturating_sub(job.written_at_ms()))
         };
-        let old = move |id: &&JobId| age_ms(id) >= since_ms;
-        self.unwritten_checkpoints.iter().filter(old).copied()
+        let is_old = move |id: &&JobId| age_ms(id) >= min_age_ms;
+        self.unwritten_checkpoints.iter().filter(is_old).copied()
     }
 }
 
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -47,13 +47,13 @@
     /// Whether a run of the job has ever been placed.
     started: bool,
     /// Number of the job's runs that have not ended.
-    outstanding: u32,
+    outstanding_count: u32,
     /// Workers on which tasks of the job have failed, at most [`FAILED_ON_MAX`].
     failed_on: Vec<WorkerId>,
     /// The newest write that contains a change of the job.
     last_write: WriteId,
     /// When the job's rows were last written, on the monotonic clock.
-    written_ms: u64,
+    written_at_ms: u64,
 }
 
 /// A run that has not ended, and its worker.
@@ -86,10 +86,10 @@
             next_repeat: 0,
             end: None,
             started: false,
-            outstanding: 0,
+            outstanding_count: 0,
             failed_on: Vec::new(),
             last_write: WriteId(0),
-            written_ms: 0,
+            written_at_ms: 0,
         }
     }
 
@@ -138,8 +138,9 @@
     /// Whether the next repetition may be opened once it is due: the job is open, has repetitions left, and few enough
     /// are open.
     pub(crate) fn may_open_repeat(&self) -> bool {
-        let (open, left) = (self.repeats.len(), self.next_repeat < self.repeat_total());
-        self.end.is_none() && left && open < self.repeats_open_max()
+        let (open_repeats, has_further_repeats) =
+            (self.repeats.len(), self.next_repeat < self.repeat_total());
+        self.end.is_none() && has_further_repeats && open_repeats < self.repeats_open_max()
     }
 
     /// How and when the job ended; `None` while it is open.
@@ -159,7 +160,7 @@
 
     /// Whether any run of the job has not ended.
     pub(crate) fn has_outstanding_runs(&self) -> bool {
-        self.outstanding > 0
+        self.outstanding_count > 0
     }
 
     /// The newest write that contains a change of the job.
@@ -168,8 +169,8 @@
     }
 
     /// When the job's rows were last written, on the monotonic clock.
-    pub(crate) fn written_ms(&self) -> u64 {
-        self.written_ms
+    pub(crate) fn written_at_ms(&self) -> u64 {
+        self.written_at_ms
     }
 
     /// Records the newest write that contains a change of the job.
@@ -179,7 +180,7 @@
 
     /// Records that the job's rows are being written now.
     pub(crate) fn set_written(&mut self, now_ms: u64) {
-        self.written_ms = now_ms;
+        self.written_at_ms = now_ms;
     }
 
     /// Sets the value of completing the job within its latency target, relative to the mean job of its route.
@@ -203,14 +204,14 @@
 
     /// Removes a repetition if all its tasks are done and no run is outstanding; returns whether it was removed.
     pub(crate) fn remove_finished_repeat(&mut self, number: u32) -> bool {
-        let finished = self
+        let is_finished = self
             .repeats
             .get(&number)
             .is_some_and(Repetition::is_finished);
-        if finished {
+        if is_finished {
             self.repeats.remove(&number);
         }
-        finished
+        is_finished
     }
 
     /// Records how and when the job ended.
@@ -271,8 +272,8 @@
     /// When repetition `repeat` is due, as Unix time in milliseconds; `None` for a job that runs once, when accepted.
     pub(crate) fn due_wall_ms(&self, repeat: u32) -> Option<u64> {
         let spec = &self.definition.spec;
-        let after = spec.interval_ms.saturating_mul(u64::from(repeat));
-        (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(after))
+        let offset_ms = spec.interval_ms.saturating_mul(u64::from(repeat));
+        (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(offset_ms))
     }
 
     /// Class under which the run times of a step's tasks are learned.
@@ -301,13 +302,15 @@
     }
 
     /// State of a step; `None` unless its repetition is open.
-    pub(crate) fn step_state(&self, at: StepRef) -> Option<&StepState> {
-        self.repeats.get(&at.repeat)?.step(at.step)
+    pub(crate) fn step_state(&self, step_ref: StepRef) -> Option<&StepState> {
+        self.repeats.get(&step_ref.repeat)?.step(step_ref.step)
     }
 
     /// State of a step for changes; `None` unless its repetition is open.
-    pub(crate) fn step_state_mut(&mut self, at: StepRef) -> Option<&mut StepState> {
-        self.repeats.get_mut(&at.repeat)?.step_mut(at.step)
+    pub(crate) fn step_state_mut(&mut self, step_ref: StepRef) -> Option<&mut StepState> {
+        self.repeats
+            .get_mut(&step_ref.repeat)?
+            .step_mut(step_ref.step)
     }
 
     /// State of a task; `None` unless its repetition is open.
@@ -322,22 +325,22 @@
 
     /// Counts a placed run of the job; returns whether it is the first one ever.
     pub(crate) fn run_placed(&mut self) -> bool {
-        self.outstanding += 1;
+        self.outstanding_count += 1;
         !std::mem::replace(&mut self.started, true)
     }
 
     /// Removes an ended run from the count of outstanding runs.
     pub(crate) fn run_finished(&mut self) {
-        self.outstanding = self.outstanding.saturating_sub(1);
+        self.outstanding_count = self.outstanding_count.saturating_sub(1);
     }
 
     /// Records that a run of the job failed on this worker; returns whether runs have failed on a different worker before.
     pub(crate) fn record_failed_on(&mut self, worker: WorkerId) -> bool {
-        let elsewhere = self.failed_on.iter().any(|other| *other != worker);
+        let failed_elsewhere = self.failed_on.iter().any(|other| *other != worker);
         if self.failed_on.len() < FAILED_ON_MAX && !self.failed_on.contains(&worker) {
             self.failed_on.push(worker);
         }
-        elsewhere
+        failed_elsewhere
     }
 
     /// Drops the repetitions and the spec of an ended job without outstanding runs; only its end is kept.
@@ -359,27 +362,27 @@
 
     /// All runs of the job that have not ended, with their workers; `id` is the job's ID.
     pub(crate) fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
-        let mut outstanding = Vec::new();
+        let mut outstanding_runs = Vec::new();
         for (&repeat, state) in &self.repeats {
             for (step, state) in state.steps().iter().enumerate() {
-                let at = StepRef {
+                let step_ref = StepRef {
                     job: id,
                     repeat,
                     step: step as u32,
                 };
                 for (index, task) in state.tasks().iter().enumerate() {
-                    let task_name = at.task(index as u32);
-                    let named = |run: &Run| OutstandingRun {
+                    let task_name = step_ref.task(index as u32);
+                    let to_outstanding_run = |run: &Run| OutstandingRun {
                         run: RunId {
                             task: task_name,
                             attempt: run.attempt(),
                         },
                         worker: run.worker(),
                     };
-                    outstanding.extend(task.runs().map(named));
+                    outstanding_runs.extend(task.runs().map(to_outstanding_run));
                 }
             }
         }
-        outstanding
+        outstanding_runs
     }
 }
--- a/crates/scheduler/src/jobs/job/restored.rs
+++ b/crates/scheduler/src/jobs/job/restored.rs
@@ -32,7 +32,7 @@
             .values()
             .flat_map(Repetition::steps)
             .flat_map(StepState::tasks);
-        self.outstanding = tasks.flat_map(Task::runs).count() as u32;
+        self.outstanding_count = tasks.flat_map(Task::runs).count() as u32;
     }
 
     /// Adds a speculative run to a task; ignored if the task has no regular run.
@@ -40,6 +40,6 @@
         let restored = self
             .task_mut(task)
             .is_some_and(|entry| entry.restore_speculative_run(run));
-        self.outstanding += u32::from(restored);
+        self.outstanding_count += u32::from(restored);
     }
 }
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -77,11 +77,13 @@
 
     /// Moves the job, and its queued steps, to this service and these terms.
     pub(crate) fn reroute(&mut self, id: JobId, service: &str, terms: Terms, clock: &Clock) {
-        let queued = self.leave_queue(id);
+        let queued_steps = self.leave_queue(id);
         if let Some(job) = self.by_id.get_mut(&id) {
             job.reroute(service, terms);
         }
-        queued.into_iter().for_each(|at| self.enqueue(at, clock));
+        queued_steps
+            .into_iter()
+            .for_each(|step_ref| self.enqueue(step_ref, clock));
     }
 
     /// Ends a job. Unless it has completed, its outstanding runs are stopped once the end is committed.
@@ -111,11 +113,11 @@
     }
 
     /// Records that a pass over the queue considered the step, and why its tasks still wait.
-    pub(crate) fn record_wait(&mut self, at: StepRef, cause: Cause, now_ms: u64) {
+    pub(crate) fn record_wait(&mut self, step_ref: StepRef, cause: Cause, now_ms: u64) {
         if let Some(state) = self
             .by_id
-            .get_mut(&at.job)
-            .and_then(|job| job.step_state_mut(at))
+            .get_mut(&step_ref.job)
+            .and_then(|job| job.step_state_mut(step_ref))
         {
             state.add_wait_cause(cause, now_ms);
         }
@@ -131,11 +133,14 @@
     }
 
     /// Takes a step out of the queue; no effect if it is not queued.
-    pub(crate) fn dequeue(&mut self, at: StepRef) {
-        let Some(job) = self.by_id.get_mut(&at.job) else {
+    pub(crate) fn dequeue(&mut self, step_ref: StepRef) {
+        let Some(job) = self.by_id.get_mut(&step_ref.job) else {
             return;
         };
-        if let Some(key) = job.step_state_mut(at).and_then(StepState::leave_queue) {
+        if let Some(key) = job
+            .step_state_mut(step_ref)
+            .and_then(StepState::leave_queue)
+        {
             let service = job.service().to_owned();
             self.events
                 .push_back(JobEvent::StepDequeued { service, key });
@@ -148,20 +153,20 @@
     }
 
     /// Puts a step into the queue if it has waiting tasks and is not queued yet.
-    pub(super) fn enqueue(&mut self, at: StepRef, clock: &Clock) {
+    pub(super) fn enqueue(&mut self, step_ref: StepRef, clock: &Clock) {
         let now_ms = clock.now_ms();
-        let Some(job) = self.by_id.get_mut(&at.job) else {
+        let Some(job) = self.by_id.get_mut(&step_ref.job) else {
             return;
         };
         let Some(state) = job
-            .step_state_mut(at)
+            .step_state_mut(step_ref)
             .filter(|state| state.needs_queueing())
         else {
             return;
         };
         state.begin_wait(now_ms);
-        let key = job.queue_key(at, now_ms);
-        if let Some(state) = job.step_state_mut(at) {
+        let key = job.queue_key(step_ref, now_ms);
+        if let Some(state) = job.step_state_mut(step_ref) {
             state.enter_queue(key);
         }
         let service = job.service().to_owned();
@@ -172,50 +177,55 @@
     /// Makes a task wait for placement again. A gang is requeued as a whole once no member runs; until then, members that
     /// still run are stopped.
     pub(super) fn requeue_task(&mut self, task: TaskName, clock: &Clock) {
-        let (at, now_ms) = (StepRef::of(&task), clock.now_ms());
-        let Some(job) = self.by_id.get_mut(&at.job) else {
+        let (step_ref, now_ms) = (StepRef::of(&task), clock.now_ms());
+        let Some(job) = self.by_id.get_mut(&step_ref.job) else {
             return;
         };
-        let gang = job.step(at.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(at) else {
+        let is_gang = job.step(step_ref.step).is_some_and(|step| step.gang);
+        let Some(state) = job.step_state_mut(step_ref) else {
             return;
         };
-        if !gang {
+        if !is_gang {
             state.mark_waiting(task.index, now_ms);
-            return self.enqueue(at, clock);
+            return self.enqueue(step_ref, clock);
         }
-        let running = state.running_tasks();
-        if running.is_empty() {
+        let running_tasks = state.running_tasks();
+        if running_tasks.is_empty() {
             state.mark_all_waiting(now_ms);
-            return self.enqueue(at, clock);
+            return self.enqueue(step_ref, clock);
         }
-        let stops = running
+        let stops = running_tasks
             .into_iter()
-            .map(|index| JobEvent::StopTask(at.task(index)));
+            .map(|index| JobEvent::StopTask(step_ref.task(index)));
         self.events.extend(stops);
     }
 
     /// Completes a task of which a run has ended `done`; for a gang, one such end completes all members.
     pub(super) fn complete_task(&mut self, task: TaskName, clock: &Clock) {
-        let at = StepRef::of(&task);
-        let Some(job) = self.by_id.get_mut(&at.job) else {
+        let step_ref = StepRef::of(&task);
+        let Some(job) = self.by_id.get_mut(&step_ref.job) else {
             return;
         };
-        let gang = job.step(at.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(at) else {
+        let is_gang = job.step(step_ref.step).is_some_and(|step| step.gang);
+        let Some(state) = job.step_state_mut(step_ref) else {
             return;
         };
-        let newly = state.complete(state.members(task.index, gang));
+        let newly_done = state.complete(state.members(task.index, is_gang));
         let (step_done, nothing_waits) = (state.is_done(), state.waiting().is_empty());
-        self.load.tasks_closed(u64::from(newly));
-        self.progress_changed(at.job);
+        self.load.tasks_closed(u64::from(newly_done));
+        self.progress_changed(step_ref.job);
         if nothing_waits {
-            self.dequeue(at);
+            self.dequeue(step_ref);
         }
-        if step_done && newly > 0 {
-            self.make_steps_ready(at.job, at.repeat, self.latency_until(&task), clock);
+        if step_done && newly_done > 0 {
+            self.make_steps_ready(
+                step_ref.job,
+                step_ref.repeat,
+                self.latency_until(&task),
+                clock,
+            );
             self.record_repeat_end(&task, clock);
-            self.close_repeat_if_finished(at.job, at.repeat, clock);
+            self.close_repeat_if_finished(step_ref.job, step_ref.repeat, clock);
         }
     }
 
@@ -273,8 +283,8 @@
         };
         let number = job.open_repeat(due_ms);
         let steps = job.steps().iter();
-        let opened = steps.map(|step| u64::from(step.count)).sum();
-        self.load.tasks_opened(opened);
+        let opened_tasks = steps.map(|step| u64::from(step.count)).sum();
+        self.load.tasks_opened(opened_tasks);
         self.progress_changed(id);
         self.make_steps_ready(id, number, latency_before_opening(due_ms, clock), clock);
         self.schedule_next_repeat(id, clock);
@@ -293,29 +303,29 @@
             return;
         };
         for step in job.ready_steps(repeat) {
-            let at = StepRef {
+            let step_ref = StepRef {
                 job: id,
                 repeat,
                 step,
             };
-            self.make_step_ready(at, latency, clock);
+            self.make_step_ready(step_ref, latency, clock);
         }
     }
 
     /// Makes the idle tasks of a ready step wait for placement; those of a gang only if no member runs.
-    fn make_step_ready(&mut self, at: StepRef, latency: LatencyBreakdown, clock: &Clock) {
-        let Some(job) = self.by_id.get_mut(&at.job) else {
+    fn make_step_ready(&mut self, step_ref: StepRef, latency: LatencyBreakdown, clock: &Clock) {
+        let Some(job) = self.by_id.get_mut(&step_ref.job) else {
             return;
         };
-        let gang = job.step(at.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(at) else {
+        let is_gang = job.step(step_ref.step).is_some_and(|step| step.gang);
+        let Some(state) = job.step_state_mut(step_ref) else {
             return;
         };
-        if gang && !state.is_idle() {
+        if is_gang && !state.is_idle() {
             return;
         }
         state.make_ready(latency, clock.now_ms());
-        self.enqueue(at, clock);
+        self.enqueue(step_ref, clock);
     }
 
     /// Takes all steps of a job out of the queue; returns those that were queued.
@@ -324,7 +334,7 @@
             return Vec::new();
         };
         let steps = job.queued_steps(id);
-        steps.iter().for_each(|at| self.dequeue(*at));
+        steps.iter().for_each(|step_ref| self.dequeue(*step_ref));
         steps
     }
 
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/run.rs
@@ -60,7 +60,7 @@
     /// Reported progress in percent.
     percent: u32,
     /// When `percent` last changed.
-    percent_ms: u64,
+    percent_changed_at_ms: u64,
     /// When a report last listed it, as running or in flight.
     listed_ms: u64,
 }
@@ -81,7 +81,7 @@
             bound: placement.bound,
             remote_factor: placement.remote_factor,
             percent: 0,
-            percent_ms: now_ms,
+            percent_changed_at_ms: now_ms,
             listed_ms: now_ms,
         }
     }
@@ -148,8 +148,8 @@
     }
 
     /// When the reported progress last changed; before any change, when the run was placed.
-    pub(crate) fn percent_ms(&self) -> u64 {
-        self.percent_ms
+    pub(crate) fn percent_changed_at_ms(&self) -> u64 {
+        self.percent_changed_at_ms
     }
 
     /// When a report last listed it, as running or in flight; before that, when the run was placed.
@@ -177,7 +177,7 @@
         self.listed_ms = now_ms;
         self.began_ms.get_or_insert(now_ms);
         if self.percent != percent {
-            (self.percent, self.percent_ms) = (percent, now_ms);
+            (self.percent, self.percent_changed_at_ms) = (percent, now_ms);
         }
     }
 
@@ -188,11 +188,11 @@
         result: RunResult,
         now_ms: u64,
     ) {
-        let spent_ms = now_ms.saturating_sub(self.placed_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.placed_ms);
         match result {
             RunResult::Ended(RunEnd::Done) => self.add_work(breakdown, now_ms),
-            RunResult::Ended(RunEnd::Failed) => breakdown.add(Cause::Failed, spent_ms),
-            RunResult::Lost => breakdown.add(Cause::Lost, spent_ms),
+            RunResult::Ended(RunEnd::Failed) => breakdown.add(Cause::Failed, elapsed_ms),
+            RunResult::Lost => breakdown.add(Cause::Lost, elapsed_ms),
             RunResult::NotStarted if self.sent && self.stop.is_none() => {
                 // The start order was lost or rejected before it reached the worker.
                 let sent_ms = self.sent_ms.max(self.placed_ms);
@@ -200,7 +200,7 @@
                 breakdown.add(Cause::Dispatch, now_ms.saturating_sub(sent_ms));
             }
             RunResult::Ended(_) | RunResult::NotStarted => {
-                breakdown.add(Cause::Stopped, spent_ms);
+                breakdown.add(Cause::Stopped, elapsed_ms);
             }
         }
     }
@@ -209,12 +209,12 @@
     fn add_work(&self, breakdown: &mut LatencyBreakdown, now_ms: u64) {
         let sent_ms = self.sent_ms.max(self.placed_ms);
         let began_ms = self.began_ms.unwrap_or(sent_ms).max(sent_ms);
-        let ran_ms = now_ms.saturating_sub(began_ms);
-        let local_ms = (ran_ms as f64 / self.remote_factor.max(1.0)) as u64;
+        let run_duration_ms = now_ms.saturating_sub(began_ms);
+        let local_duration_ms = (run_duration_ms as f64 / self.remote_factor.max(1.0)) as u64;
         breakdown.add(Cause::Commit, sent_ms - self.placed_ms);
         breakdown.add(Cause::Dispatch, began_ms - sent_ms);
-        breakdown.add(Cause::Run, local_ms);
-        breakdown.add(Cause::Remote, ran_ms - local_ms);
+        breakdown.add(Cause::Run, local_duration_ms);
+        breakdown.add(Cause::Remote, run_duration_ms - local_duration_ms);
     }
 }
 
--- a/crates/scheduler/src/jobs/runs.rs
+++ b/crates/scheduler/src/jobs/runs.rs
@@ -48,8 +48,11 @@
 
     /// Prepares a gang for its start: all members will resume from its newest checkpoint. Returns the attempt number that
     /// they share.
-    pub(crate) fn prepare_gang(&mut self, at: StepRef) -> Option<u32> {
-        let state = self.by_id.get_mut(&at.job)?.step_state_mut(at)?;
+    pub(crate) fn prepare_gang(&mut self, step_ref: StepRef) -> Option<u32> {
+        let state = self
+            .by_id
+            .get_mut(&step_ref.job)?
+            .step_state_mut(step_ref)?;
         state.align_checkpoints();
         Some(state.last_attempt() + 1)
     }
@@ -145,15 +148,15 @@
         if let Some(entry) = job.task_mut(&task) {
             entry.add_run_latency(&run, result, clock.now_ms());
         }
-        let ended = RunEnded {
+        let ended_run = RunEnded {
             run,
             result,
             traits,
             failed_elsewhere,
         };
         self.progress_changed(task.job);
-        self.apply_run_end(task, &ended, clock);
-        Some(ended)
+        self.apply_run_end(task, &ended_run, clock);
+        Some(ended_run)
     }
 
     /// Handles a `done` of a run that was treated as lost: it completes the task unless the task is already done.
@@ -164,8 +167,8 @@
         let Some(step) = job.step(task.step).filter(|step| !step.long_running) else {
             return;
         };
-        let at = StepRef::of(&task);
-        let Some(state) = job.step_state(at) else {
+        let step_ref = StepRef::of(&task);
+        let Some(state) = job.step_state(step_ref) else {
             return;
         };
         if state.task(task.index).is_none_or(Task::is_done) {
@@ -173,28 +176,28 @@
         }
         let members = state.members(task.index, step.gang);
         self.complete_task(task, clock);
-        let stops = members.map(|index| JobEvent::StopTask(at.task(index)));
+        let stops = members.map(|index| JobEvent::StopTask(step_ref.task(index)));
         self.events.extend(stops);
         self.close_repeat_if_finished(task.job, task.repeat, clock);
     }
 
     /// Updates the job after the end of a run: completes, fails or requeues the task, or closes the repetition or job.
-    fn apply_run_end(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
+    fn apply_run_end(&mut self, task: TaskName, ended_run: &RunEnded, clock: &Clock) {
         let Some(job) = self.get(&task.job) else {
             return;
         };
         let Some(entry) = job.task(&task) else {
             return;
         };
-        let long_running = ended.traits.long_running;
-        match ended.result {
+        let long_running = ended_run.traits.long_running;
+        match ended_run.result {
             _ if job.has_ended() => self.close_if_idle(task.job),
             _ if entry.is_done() => self.close_repeat_if_finished(task.job, task.repeat, clock),
             RunResult::Ended(RunEnd::Done) if !long_running => {
-                self.run_done(task, ended.traits.gang, clock);
+                self.run_done(task, ended_run.traits.gang, clock);
             }
             RunResult::Ended(RunEnd::Failed) if !long_running => {
-                self.task_failed(task, ended, clock);
+                self.task_failed(task, ended_run, clock);
             }
             _ => self.requeue_unless_running(task, clock),
         }
@@ -210,16 +213,16 @@
     }
 
     /// Counts a failed run; the job fails when the task, or its gang, has failed `max_retries` times.
-    fn task_failed(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
+    fn task_failed(&mut self, task: TaskName, ended_run: &RunEnded, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&task.job) else {
             return;
         };
-        let limit = job.terms().max_retries.max(1);
+        let max_failures = job.terms().max_retries.max(1);
         let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
             return;
         };
-        let failures = state.record_failure(task.index, &ended.run, ended.traits.gang);
-        if failures >= limit {
+        let failures = state.record_failure(task.index, &ended_run.run, ended_run.traits.gang);
+        if failures >= max_failures {
             self.record_late_end(&task, JobState::Failed, clock);
             return self.end(task.job, JobState::Failed, clock);
         }
--- a/crates/scheduler/src/jobs/step.rs
+++ b/crates/scheduler/src/jobs/step.rs
@@ -12,15 +12,15 @@
 pub(crate) struct StepState {
     tasks: Vec<Task>,
     /// Number of tasks that are done.
-    done: u32,
+    done_tasks: u32,
     /// Tasks that wait for placement.
     waiting: BTreeSet<u32>,
     /// Position in the queue; `None` while the step is not queued.
-    queued: Option<QueueKey>,
+    queue_key: Option<QueueKey>,
     /// When the step last entered the queue.
     waiting_since_ms: u64,
-    /// Causes of the wait since then, as recorded at each pass over the queue.
-    waits: LatencyBreakdown,
+    /// Causes of the wait since `waiting_since_ms`, as recorded at each pass over the queue.
+    wait_causes: LatencyBreakdown,
     /// When a pass over the queue last considered the step.
     last_considered_ms: u64,
     /// Latency breakdown from the due time of the job's repetition until the step was ready.
@@ -53,7 +53,7 @@
         // All members of a gang have the same checkpoint, except in rows of earlier versions, where any of them is valid.
         let newest = tasks.iter().map(Task::checkpoint).max();
         StepState {
-            done: tasks.iter().filter(|task| task.is_done()).count() as u32,
+            done_tasks: tasks.iter().filter(|task| task.is_done()).count() as u32,
             gang_checkpoint: newest.unwrap_or_default().to_owned(),
             gang_failures,
             tasks,
@@ -78,7 +78,7 @@
 
     /// Number of tasks that are not done.
     pub(crate) fn open_tasks(&self) -> usize {
-        self.tasks.len() - self.done as usize
+        self.tasks.len() - self.done_tasks as usize
     }
 
     /// Indices of the tasks that wait for placement.
@@ -88,7 +88,7 @@
 
     /// Position in the queue; `None` while the step is not queued.
     pub(crate) fn queued(&self) -> Option<QueueKey> {
-        self.queued
+        self.queue_key
     }
 
     /// When the step last entered the queue; 0 before that.
@@ -118,8 +118,8 @@
 
     /// Makes a task wait for placement, if it does not wait already.
     pub(crate) fn mark_waiting(&mut self, index: u32, now_ms: u64) {
-        let newly = self.waiting.insert(index);
-        if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
+        let is_new = self.waiting.insert(index);
+        if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| is_new) {
             task.begin_wait(now_ms);
         }
     }
@@ -127,11 +127,12 @@
     /// Makes all idle tasks wait for placement, as the step is ready. `latency` is the latency breakdown from the due time
     /// of the repetition until now.
     pub(crate) fn make_ready(&mut self, latency: LatencyBreakdown, now_ms: u64) {
-        let idle = self.idle_tasks();
-        if self.queued.is_none() && !idle.is_empty() {
+        let idle_tasks = self.idle_tasks();
+        if self.queue_key.is_none() && !idle_tasks.is_empty() {
             self.latency_until_ready = latency;
         }
-        idle.into_iter()
+        idle_tasks
+            .into_iter()
             .for_each(|index| self.mark_waiting(index, now_ms));
     }
 
@@ -142,28 +143,28 @@
 
     /// Whether the step has waiting tasks but is not in the queue yet.
     pub(crate) fn needs_queueing(&self) -> bool {
-        !self.waiting.is_empty() && self.queued.is_none()
+        !self.waiting.is_empty() && self.queue_key.is_none()
     }
 
     /// Starts the wait in the queue. The caller calls [`enter_queue`](Self::enter_queue) next.
     pub(crate) fn begin_wait(&mut self, now_ms: u64) {
         self.waiting_since_ms = now_ms;
-        self.waits = LatencyBreakdown::default();
+        self.wait_causes = LatencyBreakdown::default();
     }
 
     /// Sets the position in the queue; returns the former one.
     pub(crate) fn enter_queue(&mut self, key: QueueKey) -> Option<QueueKey> {
-        self.queued.replace(key)
+        self.queue_key.replace(key)
     }
 
     /// Clears the position in the queue and returns it; `None` if the step was not queued.
     pub(crate) fn leave_queue(&mut self) -> Option<QueueKey> {
-        self.queued.take()
+        self.queue_key.take()
     }
 
     /// Whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
-        self.done as usize == self.tasks.len()
+        self.done_tasks as usize == self.tasks.len()
     }
 
     /// Whether no task has an outstanding run.
@@ -207,13 +208,13 @@
         placement: &Placement,
         now_ms: u64,
     ) {
-        let waited = self.waiting.remove(&index);
-        let waits = self.waits;
+        let was_waiting = self.waiting.remove(&index);
+        let wait_causes = self.wait_causes;
         let Some(task) = self.task_mut(index) else {
             return;
         };
-        if waited {
-            task.end_wait(&waits, now_ms);
+        if was_waiting {
+            task.end_wait(&wait_causes, now_ms);
         }
         let resumed = !task.checkpoint().is_empty();
         task.add_run(Run::placed(attempt, placement, resumed, now_ms));
@@ -229,16 +230,16 @@
 
     /// Marks these tasks as done; returns how many of them were not done before.
     pub(crate) fn complete(&mut self, members: Range<u32>) -> u32 {
-        let mut newly = 0;
+        let mut newly_done = 0;
         for index in members {
             let Some(member) = self.tasks.get_mut(index as usize) else {
                 continue;
             };
-            newly += u32::from(member.complete());
+            newly_done += u32::from(member.complete());
             self.waiting.remove(&index);
         }
-        self.done += newly;
-        newly
+        self.done_tasks += newly_done;
+        newly_done
     }
 
     /// Counts a failed run of a task; returns how many runs of the task, or attempts of its gang, have failed.
@@ -262,17 +263,17 @@
     /// from the task's former one.
     pub(crate) fn store_checkpoint(&mut self, index: u32, gang: bool, checkpoint: &str) -> bool {
         let task = self.task_mut(index);
-        let new = task.is_some_and(|task| task.set_checkpoint(checkpoint));
-        if new && gang {
+        let is_new = task.is_some_and(|task| task.set_checkpoint(checkpoint));
+        if is_new && gang {
             checkpoint.clone_into(&mut self.gang_checkpoint);
         }
-        new
+        is_new
     }
 
     /// Attributes the time since the last pass over the queue to this cause.
     pub(crate) fn add_wait_cause(&mut self, cause: Cause, now_ms: u64) {
         let since_ms = self.last_considered_ms.max(self.waiting_since_ms);
-        self.waits.add(cause, now_ms.saturating_sub(since_ms));
+        self.wait_causes.add(cause, now_ms.saturating_sub(since_ms));
         self.last_considered_ms = now_ms;
     }
 }
--- a/crates/scheduler/src/jobs/task.rs
+++ b/crates/scheduler/src/jobs/task.rs
@@ -159,11 +159,11 @@
         self.waiting_since_ms = now_ms;
     }
 
-    /// Ends the wait for placement and adds it to the latency breakdown, divided among causes as `observed` is at the
-    /// step.
-    pub(crate) fn end_wait(&mut self, observed: &LatencyBreakdown, now_ms: u64) {
+    /// Ends the wait for placement and adds it to the latency breakdown, divided among causes in proportion to
+    /// `observed_waits`, the causes recorded for the step.
+    pub(crate) fn end_wait(&mut self, observed_waits: &LatencyBreakdown, now_ms: u64) {
         let waited_ms = now_ms.saturating_sub(self.waiting_since_ms);
-        self.latency.add_wait(waited_ms, observed);
+        self.latency.add_wait(waited_ms, observed_waits);
     }
 
     /// Adds the time of an ended run to the latency breakdown.
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -15,7 +15,7 @@
 
 /// Whether the event puts this step into the queue.
 fn enqueues_step(event: &JobEvent, step: u32) -> bool {
-    matches!(event, JobEvent::StepEnqueued { key, .. } if key.step_ref == builder::at(step))
+    matches!(event, JobEvent::StepEnqueued { key, .. } if key.step_ref == builder::step_ref(step))
 }
 
 #[test]
@@ -242,12 +242,12 @@
     fixture.accept(vec![one_task()]);
     fixture.jobs.record_rows_written(JOB, fixture.now_ms());
     fixture.jobs.add_unwritten_checkpoint(JOB);
-    assert_eq!(fixture.unwritten(100), Vec::new());
+    assert_eq!(fixture.jobs_to_write(100), Vec::new());
     fixture.advance(100);
-    assert_eq!(fixture.unwritten(100), vec![JOB]);
+    assert_eq!(fixture.jobs_to_write(100), vec![JOB]);
     fixture.jobs.record_rows_written(JOB, fixture.now_ms());
     fixture.advance(1_000);
-    assert_eq!(fixture.unwritten(100), Vec::new());
+    assert_eq!(fixture.jobs_to_write(100), Vec::new());
 }
 
 #[test]
--- a/crates/scheduler/src/jobs/tests/builder.rs
+++ b/crates/scheduler/src/jobs/tests/builder.rs
@@ -20,7 +20,7 @@
 const START_WALL_MS: u64 = 1_000_000;
 
 /// A step of the job in its first repetition.
-pub(super) fn at(step: u32) -> StepRef {
+pub(super) fn step_ref(step: u32) -> StepRef {
     StepRef {
         job: JOB,
         repeat: 0,
@@ -101,17 +101,20 @@
 
     /// Places a run of a task of the first repetition on a worker.
     pub(super) fn place_at(&mut self, step: u32, index: u32, worker: u32) -> RunId {
-        let task = at(step).task(index);
+        let task = step_ref(step).task(index);
         let entry = self.job().task(&task).expect("the task exists");
         self.place_run(task, entry.last_attempt() + 1, worker)
     }
 
     /// Places all members of a gang, member `n` on worker `n`.
     pub(super) fn place_gang(&mut self, step: u32, members: u32) -> Vec<RunId> {
-        let attempt = self.jobs.prepare_gang(at(step)).expect("the step exists");
+        let attempt = self
+            .jobs
+            .prepare_gang(step_ref(step))
+            .expect("the step exists");
         let members = 0..members;
         members
-            .map(|index| self.place_run(at(step).task(index), attempt, index))
+            .map(|index| self.place_run(step_ref(step).task(index), attempt, index))
             .collect()
     }
 
@@ -121,10 +124,13 @@
             bound: false,
             remote_factor: 1.0,
         };
-        let taken = self
+        let resources = self
             .jobs
             .record_placement(task, attempt, &placement, self.now_ms);
-        assert!(taken.is_some(), "the run of task {task} cannot be placed");
+        assert!(
+            resources.is_some(),
+            "the run of task {task} cannot be placed"
+        );
         let waiting = self.step(task.step).waiting();
         if waiting.is_empty() {
             self.jobs.dequeue(StepRef::of(&task));
@@ -163,10 +169,10 @@
         self.events()
     }
 
-    /// Jobs with unwritten checkpoints whose rows were last written at least `since_ms` ago.
-    pub(super) fn unwritten(&self, since_ms: u64) -> Vec<JobId> {
+    /// Jobs with unwritten checkpoints whose rows were last written at least `min_age_ms` ago.
+    pub(super) fn jobs_to_write(&self, min_age_ms: u64) -> Vec<JobId> {
         self.jobs
-            .unwritten_checkpoints(since_ms, self.now_ms)
+            .unwritten_checkpoints(min_age_ms, self.now_ms)
             .collect()
     }
 
@@ -175,7 +181,9 @@
     }
 
     pub(super) fn step(&self, step: u32) -> &StepState {
-        self.jobs.step_state(at(step)).expect("the step exists")
+        self.jobs
+            .step_state(step_ref(step))
+            .expect("the step exists")
     }
 
     /// Final state of the job; `None` while it is open.
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -61,7 +61,7 @@
 pub(crate) struct Kinds {
     kinds: Vec<Kind>,
     /// Index into `kinds` of each worker's kind.
-    kind_of: FxHashMap<WorkerId, usize>,
+    kind_by_worker: FxHashMap<WorkerId, usize>,
     classes: FxHashMap<Class, ClassWork>,
     /// Run times at mean speed, over all classes.
     all_runs: WeightedSum,
@@ -126,14 +126,14 @@
     /// speeds learned.
     pub(crate) fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
-        self.kind_of.clear();
+        self.kind_by_worker.clear();
         for (id, worker) in workers
             .iter()
-            .filter(|(_, w)| w.backend() == backend && w.expired_ms().is_none())
+            .filter(|(_, w)| w.backend() == backend && w.expired_at_ms().is_none())
         {
             let kind = self.kind_index(worker);
             self.kinds[kind].workers.push(id);
-            self.kind_of.insert(id, kind);
+            self.kind_by_worker.insert(id, kind);
         }
         self.solve(workers);
     }
@@ -169,14 +169,18 @@
 
     /// Updates the probabilities of the kinds for the mean load. Only connected workers count.
     fn solve(&mut self, workers: &Workers) {
-        let ready = |kind: &Kind| {
+        let ready_count = |kind: &Kind| {
             let is_connected =
                 |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent().is_some());
             kind.workers.iter().filter(is_connected).count() as f64
         };
-        let ready_workers: Vec<f64> = self.kinds.iter().map(ready).collect();
-        let mean = self.mean_speed();
-        let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed_or(mean)).collect();
+        let ready_workers: Vec<f64> = self.kinds.iter().map(ready_count).collect();
+        let mean_speed = self.mean_speed();
+        let speeds: Vec<f64> = self
+            .kinds
+            .iter()
+            .map(|kind| kind.speed_or(mean_speed))
+            .collect();
         let probabilities = solve(&ready_workers, &speeds, self.load, SAMPLES as u32);
         self.kinds
             .iter_mut()
@@ -187,23 +191,27 @@
     /// Fraction of the service's capacity that unbound runs take, by dominant share per worker. Capacity taken by runs
     /// bound to a kind is left out; 0 if the service has no workers.
     pub(crate) fn measured_load(&self, workers: &Workers) -> f64 {
-        let (mut used, mut all) = (0.0, 0.0);
-        for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
-            let bound = dominant_share(&worker.used_bound(), &worker.capacity());
-            let unbound = dominant_share(
+        let (mut used_share, mut available_share) = (0.0, 0.0);
+        for worker in self.kind_by_worker.keys().filter_map(|id| workers.get(*id)) {
+            let bound_share = dominant_share(&worker.used_bound(), &worker.capacity());
+            let unbound_share = dominant_share(
                 &worker.used().minus(&worker.used_bound()),
                 &worker.capacity(),
             );
-            used += unbound;
-            all += (1.0 - bound).max(unbound);
+            used_share += unbound_share;
+            available_share += (1.0 - bound_share).max(unbound_share);
+        }
+        if available_share > 0.0 {
+            used_share / available_share
+        } else {
+            0.0
         }
-        if all > 0.0 { used / all } else { 0.0 }
     }
 
     /// Mean speed of the kinds with observed runs; 1 if there are none.
     fn mean_speed(&self) -> f64 {
-        let known = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
-        let (sum, count) = known.fold((0.0, 0.0), |(sum, count), kind| {
+        let observed_kinds = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
+        let (sum, count) = observed_kinds.fold((0.0, 0.0), |(sum, count), kind| {
             (sum + kind.speed.speed, count + 1.0)
         });
         if count > 0.0 { sum / count } else { 1.0 }
@@ -219,7 +227,7 @@
         estimate_ms: u64,
         run_ms: f64,
     ) {
-        let Some(&kind) = self.kind_of.get(&worker) else {
+        let Some(&kind) = self.kind_by_worker.get(&worker) else {
             return;
         };
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
@@ -227,13 +235,13 @@
         let speed = &mut self.kinds[kind].speed;
         let work = self.classes.entry(class.clone()).or_default();
         work.record_errors(estimate, run as f64 * speed.speed);
-        let (mut same_speed, mut same_sum) = (speed.clone(), self.all_runs);
+        let (mut discarded_speed, mut discarded_sum) = (speed.clone(), self.all_runs);
         learn(speed, &mut work.by_mean, &mut self.all_runs, None, run);
         if estimate.is_some() {
             learn(
-                &mut same_speed,
+                &mut discarded_speed,
                 &mut work.by_estimate,
-                &mut same_sum,
+                &mut discarded_sum,
                 estimate,
                 run,
             );
@@ -243,7 +251,7 @@
     /// Expected run time on this worker, in milliseconds. `estimate_ms` is the client's estimate, 0 for none.
     pub(crate) fn expected_ms(&self, worker: WorkerId, class: &Class, estimate_ms: u64) -> f64 {
         let speed = self
-            .kind_of
+            .kind_by_worker
             .get(&worker)
             .map_or(1.0, |k| self.kinds[*k].speed_or(self.mean_speed()));
         self.expected_at_mean_speed_ms(class, estimate_ms) / speed.max(0.01)
@@ -280,14 +288,14 @@
         label: &str,
         fits: impl Fn(WorkerId, &Worker) -> bool,
     ) -> Option<Selection> {
-        let allowed = self.allowed(label);
-        let bound = !label.is_empty() && allowed.len() == 1;
+        let allowed_kinds = self.allowed_kinds(label);
+        let bound = !label.is_empty() && allowed_kinds.len() == 1;
         let drawn = if bound {
             None
         } else {
-            self.draw_kind(rng, &allowed)
+            self.draw_kind(rng, &allowed_kinds)
         };
-        let order = self.sampling_order(allowed, drawn);
+        let order = self.sampling_order(allowed_kinds, drawn);
         for (rank, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
             let run_count = |id: &WorkerId| {
@@ -328,7 +336,7 @@
     }
 
     /// Kinds with this label; all kinds if none has it, as the label may name a rack.
-    fn allowed(&self, label: &str) -> Vec<usize> {
+    fn allowed_kinds(&self, label: &str) -> Vec<usize> {
         let has_label = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
         let with_label: Vec<usize> = (0..self.kinds.len()).filter(has_label).collect();
         if with_label.is_empty() {
@@ -403,7 +411,7 @@
     /// Expected run time at mean speed, in microseconds; `None` while no run was observed for the prediction that
     /// applies.
     fn mean(&self, estimate: Option<u64>) -> Option<f64> {
-        let known = self.by_mean.weight() > 0.0;
+        let has_runs = self.by_mean.weight() > 0.0;
         let mean = |errors: WeightedSum| {
             if errors.weight > 0.0 {
                 errors.sum / errors.weight
@@ -416,7 +424,7 @@
             Some(_) if estimates_are_better => {
                 (self.by_estimate.weight() > 0.0).then(|| self.by_estimate.mean(estimate))
             }
-            _ => known.then(|| self.by_mean.mean(None)),
+            _ => has_runs.then(|| self.by_mean.mean(None)),
         }
     }
 }
@@ -435,14 +443,14 @@
 /// Draws up to [`SAMPLES`] different workers that satisfy `fits`, uniformly at random.
 fn sample(
     rng: &mut Pcg64Mcg,
-    from: &[WorkerId],
+    candidates: &[WorkerId],
     workers: &Workers,
     fits: impl Fn(WorkerId, &Worker) -> bool,
 ) -> Vec<WorkerId> {
-    let mut left = from.to_vec();
+    let mut remaining_candidates = candidates.to_vec();
     let mut sampled = Vec::with_capacity(SAMPLES);
-    while sampled.len() < SAMPLES && !left.is_empty() {
-        let id = left.swap_remove(rng.random_range(..left.len()));
+    while sampled.len() < SAMPLES && !remaining_candidates.is_empty() {
+        let id = remaining_candidates.swap_remove(rng.random_range(..remaining_candidates.len()));
         if workers.get(id).is_some_and(|worker| fits(id, worker)) {
             sampled.push(id);
         }
@@ -453,9 +461,9 @@
 /// Dominant share: the largest fraction of any resource's capacity that is used (Ghodsi et al., NSDI 2011). Resources
 /// of which there is no capacity are left out.
 pub(crate) fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
-    let fraction = |used: u64, all: u64| {
-        if all > 0 {
-            used as f64 / all as f64
+    let fraction = |used: u64, total_amount: u64| {
+        if total_amount > 0 {
+            used as f64 / total_amount as f64
         } else {
             0.0
         }
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -104,9 +104,9 @@
     }
 
     /// Adds time spent on one cause, in milliseconds.
-    pub(crate) fn add(&mut self, cause: Cause, ms: u64) {
+    pub(crate) fn add(&mut self, cause: Cause, duration_ms: u64) {
         let sum = &mut self.0[cause as usize];
-        *sum = sum.saturating_add(u32::try_from(ms).unwrap_or(u32::MAX));
+        *sum = sum.saturating_add(u32::try_from(duration_ms).unwrap_or(u32::MAX));
     }
 
     /// Adds another breakdown, cause by cause.
@@ -116,23 +116,23 @@
         }
     }
 
-    /// Adds a wait of `ms`, divided among the causes in proportion to `observed`. If nothing was observed, it counts as
-    /// waiting in the queue.
-    pub(crate) fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
-        let total_ms = observed.total_ms();
+    /// Adds a wait of `wait_ms`, divided among the causes in proportion to `observed_waits`. If that is empty, the whole
+    /// wait counts as waiting in the queue.
+    pub(crate) fn add_wait(&mut self, wait_ms: u64, observed_waits: &LatencyBreakdown) {
+        let total_ms = observed_waits.total_ms();
         if total_ms == 0 {
-            return self.add(Cause::Queue, ms);
+            return self.add(Cause::Queue, wait_ms);
         }
         for cause in Cause::ALL {
-            self.add(cause, ms * observed.get(cause) / total_ms);
+            self.add(cause, wait_ms * observed_waits.get(cause) / total_ms);
         }
     }
 }
 
 impl Display for LatencyBreakdown {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let spent = Cause::ALL.into_iter().filter(|cause| self.get(*cause) > 0);
-        for (number, cause) in spent.enumerate() {
+        let nonzero_causes = Cause::ALL.into_iter().filter(|cause| self.get(*cause) > 0);
+        for (number, cause) in nonzero_causes.enumerate() {
             let space = if number > 0 { " " } else { "" };
             write!(formatter, "{space}{}={}", cause.name(), self.get(cause))?;
         }
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -49,14 +49,14 @@
 /// Changed rows and orders of the current event, and outputs that wait for a commit.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    changed: ChangedRows,
+    changed_rows: ChangedRows,
     orders: BTreeMap<WorkerId, WorkerOrders>,
     /// Outputs by the write that they wait for.
     deferred: BTreeMap<WriteId, Vec<Deferred>>,
     /// Number of the last write that was issued; 0 before the first.
-    issued: u64,
+    last_issued_write: u64,
     /// Writes up to this number are committed.
-    committed: u64,
+    last_committed_write: u64,
 }
 
 impl Outbox {
@@ -65,32 +65,32 @@
 
     /// Records that the progress row of a job has to be written.
     pub(crate) fn progress_changed(&mut self, job: JobId) {
-        self.changed.progress.insert(job);
+        self.changed_rows.progress.insert(job);
     }
 
     /// Records that the definition row of an accepted job has to be written.
     pub(crate) fn job_accepted(&mut self, job: JobId) {
-        self.changed.accepted.insert(job);
+        self.changed_rows.accepted.insert(job);
     }
 
     /// Records that the definition row of a closed job has to be deleted.
     pub(crate) fn job_closed(&mut self, job: JobId) {
-        self.changed.closed.insert(job);
+        self.changed_rows.closed.insert(job);
     }
 
     /// Records that the progress row of a removed job has to be deleted.
     pub(crate) fn job_removed(&mut self, job: JobId) {
-        self.changed.removed.insert(job);
+        self.changed_rows.removed.insert(job);
     }
 
     /// Records that the row of a worker instance has to name this machine; `None` deletes the row of an ended instance.
     pub(crate) fn instance_changed(&mut self, instance: String, node_name: Option<String>) {
-        self.changed.instances.insert(instance, node_name);
+        self.changed_rows.instances.insert(instance, node_name);
     }
 
     /// The write that will contain the changes of the current event.
     pub(crate) fn current_write(&self) -> WriteId {
-        WriteId(self.issued + 1)
+        WriteId(self.last_issued_write + 1)
     }
 
     /// The newest write: the current one if the current event has changed a row, otherwise the last one issued.
@@ -98,22 +98,22 @@
         if self.has_changes() {
             self.current_write()
         } else {
-            WriteId(self.issued)
+            WriteId(self.last_issued_write)
         }
     }
 
     /// Whether the current event has changed a row.
     pub(crate) fn has_changes(&self) -> bool {
-        let changed = &self.changed;
-        !(changed.progress.is_empty()
-            && changed.removed.is_empty()
-            && changed.closed.is_empty()
-            && changed.instances.is_empty())
+        let rows = &self.changed_rows;
+        !(rows.progress.is_empty()
+            && rows.removed.is_empty()
+            && rows.closed.is_empty()
+            && rows.instances.is_empty())
     }
 
     /// Whether this write, and thus all earlier ones, are committed.
     pub(crate) fn is_committed(&self, write: WriteId) -> bool {
-        write.0 <= self.committed
+        write.0 <= self.last_committed_write
     }
 
     /// Defers an output until a write is committed.
@@ -134,19 +134,24 @@
 
     /// Returns the changes of the current event as a write with a new number.
     pub(crate) fn take_changes(&mut self) -> (WriteId, ChangedRows) {
-        self.issued += 1;
-        (WriteId(self.issued), std::mem::take(&mut self.changed))
+        self.last_issued_write += 1;
+        (
+            WriteId(self.last_issued_write),
+            std::mem::take(&mut self.changed_rows),
+        )
     }
 
     /// Marks all writes up to this one as committed.
     pub(crate) fn commit(&mut self, write: WriteId) {
-        self.committed = self.committed.max(write.0);
+        self.last_committed_write = self.last_committed_write.max(write.0);
     }
 
     /// Removes and returns the outputs whose writes are committed, in the order of the writes.
     pub(crate) fn take_committed(&mut self) -> Vec<Deferred> {
-        let waiting = self.deferred.split_off(&WriteId(self.committed + 1));
-        std::mem::replace(&mut self.deferred, waiting)
+        let uncommitted_outputs = self
+            .deferred
+            .split_off(&WriteId(self.last_committed_write + 1));
+        std::mem::replace(&mut self.deferred, uncommitted_outputs)
             .into_values()
             .flatten()
             .collect()
@@ -154,8 +159,9 @@
 
     /// Drops replies to a caller that has disconnected.
     pub(crate) fn drop_replies_to(&mut self, caller: CallerId) {
-        for waiting in self.deferred.values_mut() {
-            waiting.retain(|output| !matches!(output, Deferred::Reply(to, _) if *to == caller));
+        for waiting_outputs in self.deferred.values_mut() {
+            waiting_outputs
+                .retain(|output| !matches!(output, Deferred::Reply(to, _) if *to == caller));
         }
     }
 
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Outlook {
     /// When the capacity for all tasks is expected to be free, on the monotonic clock.
-    pub free_ms: u64,
+    pub free_at_ms: u64,
     /// Number of tasks for which each worker provides capacity.
     pub tasks: FxHashMap<WorkerId, u32>,
 }
@@ -28,14 +28,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
     /// When the capacity is expected to be free, on the monotonic clock.
-    free_ms: u64,
+    free_at_ms: u64,
     worker: WorkerId,
 }
 
 /// Expected end of a run and the resources that it frees.
 struct ExpectedEnd {
-    at_ms: u64,
-    freed: Resources,
+    end_at_ms: u64,
+    resources: Resources,
 }
 
 impl ClusterView<'_> {
@@ -58,24 +58,25 @@
         demand: &StepDemand,
         members: u32,
     ) -> Option<Outlook> {
-        let anywhere = self.outlook_in(service, demand, members, None)?;
+        let any_rack_outlook = self.outlook_in(service, demand, members, None)?;
         let rack_local = self
             .jobs
             .get(&demand.step_ref.job)
             .and_then(|job| job.step(demand.step_ref.step))
             .is_some_and(|s| s.rack_local);
         if !rack_local {
-            return Some(anywhere);
+            return Some(any_rack_outlook);
         }
         let racks: BTreeSet<&str> = self.workers_of(service).filter_map(Worker::rack).collect();
-        let of_racks = racks
+        let rack_outlooks = racks
             .into_iter()
             .filter_map(|rack| self.outlook_in(service, demand, members, Some(rack)));
-        let best = of_racks.min_by_key(|outlook| outlook.free_ms);
+        let best_rack_outlook = rack_outlooks.min_by_key(|outlook| outlook.free_at_ms);
         let loss_ms = (demand.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
         Some(
-            best.filter(|rack| rack.free_ms <= anywhere.free_ms + loss_ms)
-                .unwrap_or(anywhere),
+            best_rack_outlook
+                .filter(|rack| rack.free_at_ms <= any_rack_outlook.free_at_ms + loss_ms)
+                .unwrap_or(any_rack_outlook),
         )
     }
 
@@ -94,11 +95,11 @@
                 continue;
             };
             let reservation = service.reservations().get(id);
-            let other = reservation.is_some_and(|reservation| {
+            let is_reserved_for_other = reservation.is_some_and(|reservation| {
                 reservation.step != demand.step_ref && reservation.priority <= demand.priority
             });
-            let elsewhere = rack.is_some_and(|rack| worker.rack() != Some(rack));
-            if other || elsewhere || !worker.is_responsive(self.now_ms) {
+            let is_on_other_rack = rack.is_some_and(|rack| worker.rack() != Some(rack));
+            if is_reserved_for_other || is_on_other_rack || !worker.is_responsive(self.now_ms) {
                 continue;
             }
             let advantage_ms = if reservation.is_some() {
@@ -106,23 +107,23 @@
             } else {
                 0
             };
-            let times = self.free_times(id, worker, demand, members);
-            slots.extend(times.into_iter().map(|free_ms| Slot {
-                free_ms: free_ms.saturating_sub(advantage_ms),
+            let free_times = self.free_times(id, worker, demand, members);
+            slots.extend(free_times.into_iter().map(|free_at_ms| Slot {
+                free_at_ms: free_at_ms.saturating_sub(advantage_ms),
                 worker: id,
             }));
         }
         slots.sort_unstable();
         slots.truncate(members as usize);
-        let free_ms = slots
+        let free_at_ms = slots
             .last()
             .filter(|_| slots.len() == members as usize)?
-            .free_ms;
+            .free_at_ms;
         let mut tasks = FxHashMap::default();
         slots
             .into_iter()
             .for_each(|slot| *tasks.entry(slot.worker).or_default() += 1);
-        Some(Outlook { free_ms, tasks })
+        Some(Outlook { free_at_ms, tasks })
     }
 
     /// Times at which the worker is expected to have capacity for one, two, ... up to `members` tasks of the step, in
@@ -141,29 +142,29 @@
             .runs()
             .iter()
             .map(|task| ExpectedEnd {
-                at_ms: self.now_ms + self.remaining_ms(id, task),
-                freed: self.resources(*task),
+                end_at_ms: self.now_ms + self.remaining_ms(id, task),
+                resources: self.resources(*task),
             })
             .collect();
-        ends.sort_unstable_by_key(|end| end.at_ms);
+        ends.sort_unstable_by_key(|end| end.end_at_ms);
         let mut ends = ends.into_iter();
-        let (mut used, mut at_ms) = (worker.used(), self.now_ms);
-        let mut free = Vec::new();
+        let (mut used, mut free_at_ms) = (worker.used(), self.now_ms);
+        let mut free_times = Vec::new();
         let max_tasks = if demand.anti_affinity > 0 {
             members.min(demand.anti_affinity)
         } else {
             members
         };
         for count in 1..=u64::from(max_tasks) {
-            let wanted = multiply(&demand.resources, count);
-            while !worker.capacity().can_fit(&used.plus(&wanted)) {
+            let wanted_resources = multiply(&demand.resources, count);
+            while !worker.capacity().can_fit(&used.plus(&wanted_resources)) {
                 let Some(end) = ends.next() else {
-                    return free;
+                    return free_times;
                 };
-                (at_ms, used) = (at_ms.max(end.at_ms), used.minus(&end.freed));
+                (free_at_ms, used) = (free_at_ms.max(end.end_at_ms), used.minus(&end.resources));
             }
-            free.push(at_ms);
+            free_times.push(free_at_ms);
         }
-        free
+        free_times
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -45,7 +45,7 @@
     resources: Resources,
     /// Whether anything but capacity limits the choice of workers: a label, a rack, `anti_affinity`, a gang, a
     /// long-running step, or a worker that a task failed on.
-    constrained: bool,
+    is_constrained: bool,
 }
 
 /// Selects the workers for tasks. All random draws come from one seeded generator, so that the same sequence of events
@@ -55,24 +55,24 @@
     rng: Pcg64Mcg,
     /// No task is placed before this time of the monotonic clock. After a takeover the node agents reconnect one by one,
     /// and tasks placed at once would pile up on the workers that are back first.
-    start_ms: u64,
+    earliest_placement_ms: u64,
     /// Placements since the last call of [`take_traces`](Self::take_traces); `None` while tracing is off.
     traces: Option<Vec<PlacementTrace>>,
 }
 
 impl Placer {
-    /// Creates a placer with this seed that places tasks from `start_ms` of the monotonic clock on.
-    pub(crate) fn new(seed: u64, start_ms: u64) -> Self {
+    /// Creates a placer with this seed that places tasks from `earliest_placement_ms` of the monotonic clock on.
+    pub(crate) fn new(seed: u64, earliest_placement_ms: u64) -> Self {
         Placer {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            start_ms,
+            earliest_placement_ms,
             traces: None,
         }
     }
 
     /// Postpones all placements to this time of the monotonic clock.
-    pub(crate) fn wait_until(&mut self, start_ms: u64) {
-        self.start_ms = start_ms;
+    pub(crate) fn wait_until(&mut self, earliest_placement_ms: u64) {
+        self.earliest_placement_ms = earliest_placement_ms;
     }
 
     /// Starts recording a trace of each placement.
@@ -89,7 +89,7 @@
     /// Runs a pass over the queue of each service for which one is due.
     pub(crate) fn place_waiting(&mut self, cluster: &mut Cluster) {
         let now_ms = cluster.clock().now_ms();
-        if now_ms < self.start_ms {
+        if now_ms < self.earliest_placement_ms {
             return;
         }
         for name in cluster
@@ -123,12 +123,12 @@
             group.iter().for_each(|key| {
                 self.visit_step(cluster, service, *key, Locality::LocalOnly, &mut pass);
             });
-            let remaining = group.iter().filter(|key| {
+            let remaining_steps = group.iter().filter(|key| {
                 cluster.view().has_locality(key.step_ref)
                     && cluster.view().has_waiting_tasks(key.step_ref)
             });
-            let remaining: Vec<QueueKey> = remaining.copied().collect();
-            remaining.into_iter().for_each(|key| {
+            let remaining_steps: Vec<QueueKey> = remaining_steps.copied().collect();
+            remaining_steps.into_iter().for_each(|key| {
                 self.visit_step(cluster, service, key, Locality::Anywhere, &mut pass);
             });
         }
@@ -171,7 +171,7 @@
         cluster.record_wait(key.step_ref, cause);
         if !cannot_fit {
             pass.largest_free = cluster.view().largest_free(service);
-            if !shape.constrained {
+            if !shape.is_constrained {
                 pass.blocked.push(resources);
             }
         }
@@ -199,21 +199,21 @@
         if step.gang {
             return self.place_gang(cluster, service, step_ref, locality);
         }
-        let waiting: Vec<u32> = state.waiting().iter().copied().collect();
+        let waiting_tasks: Vec<u32> = state.waiting().iter().copied().collect();
         let Some(mut demand) = StepDemand::for_step(job, step_ref, cluster.clock().now_ms()) else {
             return;
         };
         demand.avoids_idle_workers = avoids_idle_workers(cluster, service, &demand.resources);
         demand.locality = locality;
-        let mut spare = match cluster.services().get(service) {
+        let mut spare_cpu = match cluster.services().get(service) {
             Some(state) if cluster.view().must_leave_headroom(state, key) => {
                 cluster.view().free_beyond_headroom(state)
             }
             _ => f64::INFINITY,
         };
-        for index in waiting {
-            spare -= demand.resources.cpu as f64;
-            if spare < 0.0 || !self.place_task(cluster, service, &mut demand, index) {
+        for index in waiting_tasks {
+            spare_cpu -= demand.resources.cpu as f64;
+            if spare_cpu < 0.0 || !self.place_task(cluster, service, &mut demand, index) {
                 return;
             }
         }
@@ -248,7 +248,7 @@
             .get(selection.worker)
             .is_some_and(|worker| demand.is_local(worker));
         if demand.anti_affinity > 0 {
-            *demand.on_worker.entry(selection.worker).or_default() += 1;
+            *demand.runs_by_worker.entry(selection.worker).or_default() += 1;
         }
         let remote_factor = cluster.view().bounds.remote_factor(is_local);
         let placement = Placement::new(&selection, remote_factor);
@@ -310,12 +310,12 @@
     let Some(state) = cluster.services().get(service) else {
         return false;
     };
-    let large = cluster.view().needs_most_of_worker(state, resources);
+    let is_large = cluster.view().needs_most_of_worker(state, resources);
     let recent = cluster.services_mut().entry(service).recent_mut();
-    if large {
+    if is_large {
         recent.observe_large_task(now_ms);
     }
-    !large && recent.has_large_tasks(now_ms)
+    !is_large && recent.has_large_tasks(now_ms)
 }
 
 impl ClusterView<'_> {
@@ -354,16 +354,16 @@
     fn task_shape(&self, step_ref: StepRef) -> Option<TaskShape> {
         let job = self.jobs.get(&step_ref.job)?;
         let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
-        let retried = state.tasks().iter().any(|task| task.failed_on().is_some());
-        let constrained = step.gang
-            || retried
+        let has_failed_task = state.tasks().iter().any(|task| task.failed_on().is_some());
+        let is_constrained = step.gang
+            || has_failed_task
             || step.anti_affinity > 0
             || step.long_running
             || !step.requirements.is_empty()
             || !step.affinity.is_empty();
         Some(TaskShape {
             resources: step.resources(),
-            constrained,
+            is_constrained,
         })
     }
 
@@ -387,12 +387,12 @@
         };
         self.workers_of(state)
             .filter(|worker| worker.accepts_starts(self.now_ms))
-            .fold(Resources::default(), |most, worker| {
+            .fold(Resources::default(), |largest, worker| {
                 let free = worker.free();
                 Resources {
-                    cpu: most.cpu.max(free.cpu),
-                    mem_mb: most.mem_mb.max(free.mem_mb),
-                    gpu: most.gpu.max(free.gpu),
+                    cpu: largest.cpu.max(free.cpu),
+                    mem_mb: largest.mem_mb.max(free.mem_mb),
+                    gpu: largest.gpu.max(free.gpu),
                 }
             })
     }
@@ -408,10 +408,10 @@
     state: &ServiceState,
     now_ms: u64,
 ) -> bool {
-    let beside = worker.has_capacity(&demand.resources.plus(&reservation.resources));
+    let fits_beside = worker.has_capacity(&demand.resources.plus(&reservation.resources));
     let expected_ms = state
         .kinds()
         .expected_ms(id, &demand.class, demand.estimate_ms) as u64;
-    let ends_before = !demand.long_running && now_ms + expected_ms <= reservation.free_ms;
-    reservation.yields_to(demand) || beside || ends_before
+    let ends_in_time = !demand.long_running && now_ms + expected_ms <= reservation.free_at_ms;
+    reservation.yields_to(demand) || fits_beside || ends_in_time
 }
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -42,23 +42,23 @@
         demand.locality = locality;
         let remote_slowdown = cluster.view().bounds.remote_slowdown;
         let rack_wait_ms = (demand.estimate_ms as f64 * (remote_slowdown - 1.0)) as u64;
-        let waited = locality == Locality::Anywhere
+        let has_waited = locality == Locality::Anywhere
             && demand.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
-        let may_spread = !rack_local || waited;
+        let may_spread = !rack_local || has_waited;
         let plan = [Scope::Preferred, Scope::Allowed]
             .into_iter()
             .find_map(|scope| {
-                let in_rack = if rack_local {
+                let rack_plan = if rack_local {
                     self.plan_in_rack(cluster, service, &demand, scope, members)
                 } else {
                     None
                 };
-                let spread = || {
+                let spread_plan = || {
                     may_spread
                         .then(|| self.plan(cluster, service, &demand, scope, members, None))
                         .flatten()
                 };
-                in_rack.or_else(spread)
+                rack_plan.or_else(spread_plan)
             });
         if let Some(plan) = plan {
             self.start_gang(cluster, service, step_ref, rack_local, &demand, plan);
@@ -101,7 +101,7 @@
         let view = cluster.view();
         let (now_ms, remote_slowdown) = (view.now_ms, view.bounds.remote_slowdown);
         let state = view.services.get(service)?;
-        let eligible = |id: WorkerId, worker: &Worker| {
+        let is_eligible = |id: WorkerId, worker: &Worker| {
             worker.accepts_starts(now_ms)
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
                 && demand.considers(scope, worker, remote_slowdown, false, now_ms)
@@ -110,7 +110,7 @@
                     .get(id)
                     .is_none_or(|reservation| reservation.yields_to(demand))
         };
-        let mut planned: FxHashMap<WorkerId, u32> = FxHashMap::default();
+        let mut planned_tasks: FxHashMap<WorkerId, u32> = FxHashMap::default();
         let mut plan = Vec::with_capacity(members);
         for _ in 0..members {
             let selection = state.kinds().select(
@@ -118,11 +118,11 @@
                 view.workers,
                 &demand.label,
                 |id, worker| {
-                    let extra = planned.get(&id).copied().unwrap_or(0);
-                    demand.permits(id, worker, extra) && eligible(id, worker)
+                    let planned_there = planned_tasks.get(&id).copied().unwrap_or(0);
+                    demand.permits(id, worker, planned_there) && is_eligible(id, worker)
                 },
             )?;
-            *planned.entry(selection.worker).or_default() += 1;
+            *planned_tasks.entry(selection.worker).or_default() += 1;
             plan.push(selection);
         }
         Some(plan)
--- a/crates/scheduler/src/placement/reserve.rs
+++ b/crates/scheduler/src/placement/reserve.rs
@@ -53,20 +53,21 @@
     if state.reservations().are_current(key.step_ref, now_ms) {
         return true;
     }
-    let reserved = match cluster.view().plan_reservations(state, key) {
+    let planned_reservations = match cluster.view().plan_reservations(state, key) {
         ReservationPlan::NotNeeded => return false,
         ReservationPlan::NoWorkers => Vec::new(),
-        ReservationPlan::Workers(reserved) => reserved,
+        ReservationPlan::Workers(planned_reservations) => planned_reservations,
     };
-    let found = !reserved.is_empty();
-    let reserved = reserved.into_iter();
-    let reserved = reserved.map(|planned| (planned.worker, planned.reservation));
+    let has_reservations = !planned_reservations.is_empty();
+    let planned_reservations = planned_reservations.into_iter();
+    let planned_reservations =
+        planned_reservations.map(|planned| (planned.worker, planned.reservation));
     if let Some(state) = cluster.services_mut().get_mut(service) {
         state
             .reservations_mut()
-            .replace(key.step_ref, reserved, now_ms);
+            .replace(key.step_ref, planned_reservations, now_ms);
     }
-    found
+    has_reservations
 }
 
 impl ClusterView<'_> {
@@ -83,17 +84,17 @@
         } else {
             u64::MAX
         };
-        let planned = |(worker, count): (WorkerId, u32)| PlannedReservation {
+        let to_reservation = |(worker, count): (WorkerId, u32)| PlannedReservation {
             worker,
             reservation: Reservation {
                 step: key.step_ref,
                 priority: key.priority,
                 resources: multiply(&demand.resources, u64::from(count)),
-                free_ms: outlook.free_ms,
+                free_at_ms: outlook.free_at_ms,
                 patience_ms,
             },
         };
-        ReservationPlan::Workers(outlook.tasks.into_iter().map(planned).collect())
+        ReservationPlan::Workers(outlook.tasks.into_iter().map(to_reservation).collect())
     }
 
     /// Demand of the step, and the number of tasks that start together; `None` if the step is no gang and its tasks are
@@ -103,14 +104,15 @@
         let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
         let demand = StepDemand::for_step(job, step_ref, self.now_ms)?;
         let workers = self.workers_of(service);
-        let fitting = workers.filter(|worker| worker.capacity().can_fit(&demand.resources));
-        let fractions = fitting.map(|worker| dominant_share(&demand.resources, &worker.capacity()));
-        let least = fractions.min_by(f64::total_cmp)?;
+        let fitting_workers = workers.filter(|worker| worker.capacity().can_fit(&demand.resources));
+        let fractions =
+            fitting_workers.map(|worker| dominant_share(&demand.resources, &worker.capacity()));
+        let least_fraction = fractions.min_by(f64::total_cmp)?;
         let members = if step.gang {
             state.tasks().len() as u32
         } else {
             1
         };
-        (step.gang || least >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
+        (step.gang || least_fraction >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
     }
 }
--- a/crates/scheduler/src/placement/speculation.rs
+++ b/crates/scheduler/src/placement/speculation.rs
@@ -125,10 +125,10 @@
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
         let is_at_risk = key.prospect != Prospect::Hopeless
             && self.now_ms as i64 + DEADLINE_MARGIN_MS >= key.latest_start_ms;
-        let unresponsive = worker.is_unresponsive_for(UNRESPONSIVE_MS, self.now_ms);
-        let stopping = run.stop().is_some();
-        let is_candidate =
-            is_at_risk && (unresponsive || !stopping && self.is_overdue(id, worker, &task, run));
+        let is_unresponsive = worker.is_unresponsive_for(UNRESPONSIVE_MS, self.now_ms);
+        let is_stopping = run.stop().is_some();
+        let is_candidate = is_at_risk
+            && (is_unresponsive || !is_stopping && self.is_overdue(id, worker, &task, run));
         is_candidate.then_some(SpeculationCandidate {
             key,
             task,
@@ -139,8 +139,8 @@
     /// Whether the run takes far longer than expected for a reason other than the task's own length: its progress has
     /// stalled, or its worker is slow and a new run elsewhere is expected to be done first.
     fn is_overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
-        let suspected = worker.health().status(self.now_ms) != HealthStatus::Healthy;
-        let factor = if suspected {
+        let is_suspected = worker.health().status(self.now_ms) != HealthStatus::Healthy;
+        let factor = if is_suspected {
             OVERDUE_FACTOR_SUSPECTED
         } else {
             OVERDUE_FACTOR
@@ -152,7 +152,8 @@
         };
         let expected_ms = self.expected_run_ms(id, task);
         let elapsed_ms = self.now_ms.saturating_sub(run.placed_ms()) as f64;
-        let is_stalled = self.now_ms.saturating_sub(run.percent_ms()) > PROGRESS_STALLED_MS;
+        let is_stalled =
+            self.now_ms.saturating_sub(run.percent_changed_at_ms()) > PROGRESS_STALLED_MS;
         elapsed_ms > factor * expected_ms + OVERDUE_MIN_MS + resume_cost_ms
             && (is_stalled
                 || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -64,13 +64,13 @@
 #[derive(Clone, Copy, Debug)]
 struct WantedTasks {
     /// Tasks that have to start together: all of a gang, else 1. Less capacity is of no use.
-    together: u32,
+    simultaneous_tasks: u32,
     /// Tasks that wait for placement.
-    waiting: u32,
+    waiting_tasks: u32,
 }
 
 /// Capacity per worker that is intended for steps further ahead in the queue.
-type Claimed = FxHashMap<WorkerId, Resources>;
+type ClaimedCapacity = FxHashMap<WorkerId, Resources>;
 
 /// Stops runs for steps that would miss their latency targets for lack of capacity. Capacity that is free or being
 /// freed is claimed by the steps in queue order and is not available to the steps behind, so that several steps do not
@@ -81,12 +81,12 @@
         let Some(service) = cluster.services().get(&name) else {
             continue;
         };
-        let first = service.queue().iter().take(STEPS_CONSIDERED);
-        let keys: Vec<QueueKey> = first
+        let first_keys = service.queue().iter().take(STEPS_CONSIDERED);
+        let keys: Vec<QueueKey> = first_keys
             .filter(|key| key.prospect != Prospect::Hopeless)
             .copied()
             .collect();
-        let mut claimed = Claimed::default();
+        let mut claimed = ClaimedCapacity::default();
         for key in keys {
             let victims = cluster.view().victims_for(&name, key, &mut claimed);
             for victim in victims {
@@ -99,12 +99,17 @@
 impl ClusterView<'_> {
     /// Runs to stop for a step that would otherwise miss its latency target; empty if it is expected to start in time,
     /// or if no worker of the service can ever have capacity for it.
-    fn victims_for(&self, service: &str, key: QueueKey, claimed: &mut Claimed) -> Vec<Victim> {
-        let found = self
+    fn victims_for(
+        &self,
+        service: &str,
+        key: QueueKey,
+        claimed: &mut ClaimedCapacity,
+    ) -> Vec<Victim> {
+        let service_and_job = self
             .services
             .get(service)
             .zip(self.jobs.get(&key.step_ref.job));
-        let Some((service, job)) = found else {
+        let Some((service, job)) = service_and_job else {
             return Vec::new();
         };
         let (Some(step), Some(state)) = (job.step(key.step_ref.step), job.step_state(key.step_ref))
@@ -114,16 +119,19 @@
         let Some(demand) = StepDemand::for_step(job, key.step_ref, self.now_ms) else {
             return Vec::new();
         };
-        let waiting = state.waiting().len() as u32;
-        let together = if step.gang { waiting } else { 1 };
-        let in_time = |free_ms: u64| free_ms as i64 + SLACK_MS <= key.latest_start_ms;
+        let waiting_tasks = state.waiting().len() as u32;
+        let simultaneous_tasks = if step.gang { waiting_tasks } else { 1 };
+        let in_time = |free_at_ms: u64| free_at_ms as i64 + SLACK_MS <= key.latest_start_ms;
         if self
-            .outlook(service, &demand, together)
-            .is_none_or(|outlook| in_time(outlook.free_ms))
+            .outlook(service, &demand, simultaneous_tasks)
+            .is_none_or(|outlook| in_time(outlook.free_at_ms))
         {
             return Vec::new();
         }
-        let wanted = WantedTasks { together, waiting };
+        let wanted = WantedTasks {
+            simultaneous_tasks,
+            waiting_tasks,
+        };
         self.victims(service, key, &demand, wanted, claimed)
     }
 
@@ -136,19 +144,21 @@
         key: QueueKey,
         demand: &StepDemand,
         wanted: WantedTasks,
-        claimed: &mut Claimed,
+        claimed: &mut ClaimedCapacity,
     ) -> Vec<Victim> {
-        let waiting = wanted.waiting;
+        let waiting_tasks = wanted.waiting_tasks;
         let workers = service.kinds().workers();
         let mut offers: Vec<WorkerOffers> = workers
             .map(|worker| {
-                let taken = claimed.get(&worker).copied().unwrap_or_default();
-                let offers = self.offers(worker, key, demand, waiting, &taken).into();
+                let claimed_resources = claimed.get(&worker).copied().unwrap_or_default();
+                let offers = self
+                    .offers(worker, key, demand, waiting_tasks, &claimed_resources)
+                    .into();
                 WorkerOffers { worker, offers }
             })
             .collect();
-        let (mut loss, mut victims, mut used) = (0.0, Vec::new(), Vec::new());
-        while used.len() < waiting as usize {
+        let (mut loss, mut victims, mut used_workers) = (0.0, Vec::new(), Vec::new());
+        while used_workers.len() < waiting_tasks as usize {
             let cheapest = offers
                 .iter_mut()
                 .min_by(|a, b| a.next_loss().total_cmp(&b.next_loss()));
@@ -162,15 +172,15 @@
             if loss > LOSS_MAX_CORE_S {
                 break;
             }
-            used.push(id);
+            used_workers.push(id);
             victims.extend(offer.victims);
         }
-        if used.len() < wanted.together as usize {
+        if used_workers.len() < wanted.simultaneous_tasks as usize {
             return Vec::new();
         }
-        for id in used {
-            let taken = claimed.entry(id).or_default();
-            *taken = taken.plus(&demand.resources);
+        for id in used_workers {
+            let claimed_resources = claimed.entry(id).or_default();
+            *claimed_resources = claimed_resources.plus(&demand.resources);
         }
         victims
     }
@@ -244,14 +254,14 @@
         let Some(worker) = self.workers.get(id) else {
             return Resources::default();
         };
-        let stopping = worker.runs().iter().filter(|task| {
+        let stopping_tasks = worker.runs().iter().filter(|task| {
             let run = self
                 .jobs
                 .get(&task.job)
                 .and_then(|job| job.task(task)?.run_at(id));
             run.is_some_and(|run| run.stop().is_some())
         });
-        stopping.fold(Resources::default(), |sum, task| {
+        stopping_tasks.fold(Resources::default(), |sum, task| {
             sum.plus(&self.resources(*task))
         })
     }
@@ -287,14 +297,14 @@
 
 /// Work lost by stopping the victim, divided by the share of the demanded CPU and GPU capacity that this frees.
 fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
-    let fraction = |freed: u64, wanted: u64| {
+    let fraction = |freed_share: u64, wanted: u64| {
         if wanted > 0 {
-            freed.min(wanted) as f64 / wanted as f64
+            freed_share.min(wanted) as f64 / wanted as f64
         } else {
             0.0
         }
     };
-    let freed = fraction(victim.resources.cpu, demand.resources.cpu)
+    let freed_share = fraction(victim.resources.cpu, demand.resources.cpu)
         + fraction(victim.resources.gpu, demand.resources.gpu);
-    victim.loss / freed.max(0.001)
+    victim.loss / freed_share.max(0.001)
 }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -43,9 +43,9 @@
             return;
         };
         let node_name = connection.node_name.clone();
-        let present = report.instance.as_ref().map(|instance| &instance.id);
+        let present_instance = report.instance.as_ref().map(|instance| &instance.id);
         let ended = report.ended_instances.iter();
-        for ended in ended.filter(|ended| Some(*ended) != present) {
+        for ended in ended.filter(|ended| Some(*ended) != present_instance) {
             if let Some(id) = cluster.workers().find(ended) {
                 cluster.instance_ended(id);
             }
@@ -116,10 +116,10 @@
 fn handle_not_started(cluster: &mut Cluster, node_name: &str, not_started: &[RunId]) {
     let now_ms = cluster.clock().now_ms();
     for run in not_started {
-        let Some(present) = cluster.jobs().run(run) else {
+        let Some(outstanding_run) = cluster.jobs().run(run) else {
             continue;
         };
-        let (id, is_wanted) = (present.worker(), present.stop().is_none());
+        let (id, is_wanted) = (outstanding_run.worker(), outstanding_run.stop().is_none());
         let Some(worker) = cluster.workers_mut().get_mut(id) else {
             continue;
         };
@@ -143,10 +143,12 @@
         }
     }
     let running = instance.running.as_ref().map(|running| {
-        let unknown = running
+        let unknown_runs = running
             .iter()
             .filter(|listed| !cluster.record_listed(id, listed));
-        unknown.map(|listed| listed.run).collect::<Vec<RunId>>()
+        unknown_runs
+            .map(|listed| listed.run)
+            .collect::<Vec<RunId>>()
     });
     if let Some(worker) = cluster.workers_mut().get_mut(id) {
         worker.unexpected_mut().set(in_flight, running);
@@ -155,22 +157,22 @@
 
 /// Handles the ends that were not handled yet. They are acknowledged once the write with their changes is committed.
 fn handle_ends(cluster: &mut Cluster, id: WorkerId, finished: &[FinishedRun]) {
-    let Some(handled) = cluster.workers().get(id).map(Worker::handled_end) else {
+    let Some(handled_number) = cluster.workers().get(id).map(Worker::handled_end) else {
         return;
     };
-    let mut newest = handled;
-    for end in finished.iter().filter(|end| end.number > handled) {
-        newest = newest.max(end.number);
+    let mut newest_number = handled_number;
+    for end in finished.iter().filter(|end| end.number > handled_number) {
+        newest_number = newest_number.max(end.number);
         handle_end(cluster, id, end);
     }
-    if newest == handled {
+    if newest_number == handled_number {
         return;
     }
     if let Some(worker) = cluster.workers_mut().get_mut(id) {
-        worker.handle_ends_until(newest);
+        worker.handle_ends_until(newest_number);
     }
     let write = cluster.outbox().newest_write();
-    let acknowledge = Deferred::Acknowledge(id, newest);
+    let acknowledge = Deferred::Acknowledge(id, newest_number);
     cluster.outbox_mut().defer(write, acknowledge);
 }
 
@@ -205,7 +207,7 @@
     let is_first = worker.record_full_report();
     let tasks = worker.runs().clone();
     let listed = running.iter().map(|listed| listed.run);
-    let present: FxHashSet<RunId> = listed.chain(instance.in_flight.iter().copied()).collect();
+    let runs: FxHashSet<RunId> = listed.chain(instance.in_flight.iter().copied()).collect();
     let now_ms = cluster.clock().now_ms();
     for task in tasks {
         let Some(run) = cluster.view().run_at(id, &task).filter(|run| run.is_sent()) else {
@@ -217,7 +219,7 @@
         };
         match run.stop() {
             Some(stop) if is_stop_due(stop, agent, now_ms) => cluster.send_stop(order),
-            None if is_first => resend_after_reconnect(cluster, order, present.contains(&order)),
+            None if is_first => resend_after_reconnect(cluster, order, runs.contains(&order)),
             _ => {}
         }
     }
@@ -235,11 +237,11 @@
     let Some(job) = cluster.jobs().get(&task.job) else {
         return;
     };
-    let done = job.task(&task).is_some_and(Task::is_done);
-    let superseded = done && job.step(task.step).is_some_and(|step| !step.gang);
+    let is_done = job.task(&task).is_some_and(Task::is_done);
+    let is_superseded = is_done && job.step(task.step).is_some_and(|step| !step.gang);
     if job.has_ended() {
         cluster.send_stop_if_committed(order);
-    } else if superseded {
+    } else if is_superseded {
         cluster.stop_single_run(order);
     } else if !is_present {
         cluster.push_start_order(order);
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -19,7 +19,7 @@
     /// Capacity of the worker that is reserved.
     pub resources: Resources,
     /// When the capacity for the step is expected to be free, on the monotonic clock.
-    pub free_ms: u64,
+    pub free_at_ms: u64,
     /// Other steps that have waited for this time may use the worker despite the reservation; `u64::MAX` for never.
     pub patience_ms: u64,
 }
@@ -50,11 +50,11 @@
 
     /// Whether the step has reservations that need not be planned again yet.
     pub(crate) fn are_current(&self, step: StepRef, now_ms: u64) -> bool {
-        let reserved = self
+        let has_reservation = self
             .by_worker
             .values()
             .any(|reservation| reservation.step == step);
-        reserved && now_ms < self.next_update_ms
+        has_reservation && now_ms < self.next_update_ms
     }
 
     /// Replaces the reservations of a step. A worker reserved for another step passes to this one.
--- a/crates/scheduler/src/reservations/tests.rs
+++ b/crates/scheduler/src/reservations/tests.rs
@@ -16,7 +16,7 @@
         step: step(job),
         priority: 1,
         resources: Resources::default(),
-        free_ms: 5_000,
+        free_at_ms: 5_000,
         patience_ms: 1_000,
     }
 }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -195,8 +195,8 @@
 /// Index of a worker's instance in `instances`, to which it is added if missing.
 fn instance_index(worker: WorkerId, workers: &Workers, instances: &mut Vec<String>) -> u32 {
     let name = workers.get(worker).map_or("", |w| w.instance());
-    let known = instances.iter().position(|instance| instance == name);
-    known.unwrap_or_else(|| {
+    let known_index = instances.iter().position(|instance| instance == name);
+    known_index.unwrap_or_else(|| {
         instances.push(name.to_owned());
         instances.len() - 1
     }) as u32
@@ -209,12 +209,12 @@
     workers: &Workers,
     instances: &mut Vec<String>,
 ) -> StepRow {
-    let idle = step.is_idle();
-    if idle && step.is_done() {
+    let is_idle = step.is_idle();
+    if is_idle && step.is_done() {
         return StepRow::Done;
     }
     let never_placed = |task: &Task| task.last_attempt() == 0 && !task.is_done();
-    if idle && step.tasks().iter().all(never_placed) {
+    if is_idle && step.tasks().iter().all(never_placed) {
         return StepRow::Fresh;
     }
     let checkpoint = |task: &Task| {
@@ -255,10 +255,10 @@
 
 /// Decodes the value of `progress/ID`.
 pub(crate) fn read_progress(key: &[u8], value: &[u8]) -> Result<Progress, RowError> {
-    let (mut progress, rest): (Progress, &[u8]) =
+    let (mut progress, remaining_bytes): (Progress, &[u8]) =
         postcard::take_from_bytes(value).map_err(|source| decode_error(key, source))?;
-    if !rest.is_empty() {
-        progress.speculative_runs = decode(key, rest)?;
+    if !remaining_bytes.is_empty() {
+        progress.speculative_runs = decode(key, remaining_bytes)?;
     }
     Ok(progress)
 }
@@ -323,13 +323,13 @@
         job.restore_repeats(repeats);
         for row in speculative_runs {
             let worker = workers.get_or_register(&row.instance, now_ms);
-            let at = StepRef {
+            let step_ref = StepRef {
                 job: JobId(0),
                 repeat: row.repeat,
                 step: row.step,
             };
             let run = Run::restored(worker, row.attempt, now_ms);
-            job.restore_speculative_run(&at.task(row.index), run);
+            job.restore_speculative_run(&step_ref.task(row.index), run);
         }
         job
     }
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -16,15 +16,15 @@
 const MAX_LEASE_MS: u64 = 6_000;
 
 /// The value of the row with this key in the fixture.
-fn stored(key: &str) -> Vec<u8> {
+fn stored_value(key: &str) -> Vec<u8> {
     let mut rows = FIXTURE.lines().filter_map(|line| line.split_once(' '));
     let (_, hex) = rows
-        .find(|(stored, _)| *stored == key)
+        .find(|(row_key, _)| *row_key == key)
         .expect("the fixture has a row with this key");
     (0..hex.len())
         .step_by(2)
-        .map(|at| {
-            u8::from_str_radix(&hex[at..at + 2], 16)
+        .map(|offset| {
+            u8::from_str_radix(&hex[offset..offset + 2], 16)
                 .expect("the value consists of hexadecimal digits")
         })
         .collect()
@@ -34,7 +34,7 @@
 #[case::repeated("job/0000000000000007")]
 #[case::gang("job/0000000000000008")]
 fn a_definition_row_is_read_and_written_unchanged(#[case] key: &str) {
-    let row = stored(key);
+    let row = stored_value(key);
     let definition = read_definition(key.as_bytes(), &row).expect("the row can be decoded");
     assert!(!definition.spec.stages.is_empty());
     assert_eq!(definition_bytes(&definition), row);
@@ -50,9 +50,9 @@
     #[case] speculative_runs: usize,
 ) {
     let definition = definition.map_or_else(Definition::default, |key| {
-        read_definition(key.as_bytes(), &stored(key)).expect("the row can be decoded")
+        read_definition(key.as_bytes(), &stored_value(key)).expect("the row can be decoded")
     });
-    let row = stored(key);
+    let row = stored_value(key);
     let progress = read_progress(key.as_bytes(), &row).expect("the row can be decoded");
     assert_eq!(progress.speculative_runs.len(), speculative_runs);
     let mut workers = Workers::new(MAX_LEASE_MS);
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -29,8 +29,8 @@
 /// Checks all runs on workers to which orders can be sent.
 pub(crate) fn check_runs(cluster: &mut Cluster) {
     let workers = cluster.workers().iter();
-    let reachable = workers.filter(|(_, worker)| worker.order_connection().is_some());
-    let tasks_by_worker: Vec<(WorkerId, Vec<TaskName>)> = reachable
+    let reachable_workers = workers.filter(|(_, worker)| worker.order_connection().is_some());
+    let tasks_by_worker: Vec<(WorkerId, Vec<TaskName>)> = reachable_workers
         .map(|(id, worker)| (id, worker.runs().iter().copied().collect()))
         .collect();
     for (id, tasks) in tasks_by_worker {
@@ -48,20 +48,20 @@
     let Some(run) = cluster.view().run_at(id, &task).filter(|run| run.is_sent()) else {
         return;
     };
-    let absent_ms = now_ms.saturating_sub(run.listed_ms());
-    let ended = cluster.jobs().get(&task.job).is_some_and(Job::has_ended);
-    let stopping = run.stop().is_some() || ended;
+    let absence_duration_ms = now_ms.saturating_sub(run.listed_ms());
+    let has_ended = cluster.jobs().get(&task.job).is_some_and(Job::has_ended);
+    let is_stopping = run.stop().is_some() || has_ended;
     let order = RunId {
         task,
         attempt: run.attempt(),
     };
-    if absent_ms >= ABSENT_MS {
+    if absence_duration_ms >= ABSENT_MS {
         return cluster.end_run(order, RunResult::NotStarted, "");
     }
-    if stopping {
+    if is_stopping {
         return;
     }
-    if absent_ms >= ORDER_RETRY_MS && absent_ms % ORDER_RETRY_MS < CHECK_MS {
+    if absence_duration_ms >= ORDER_RETRY_MS && absence_duration_ms % ORDER_RETRY_MS < CHECK_MS {
         cluster.push_start_order(order);
     }
     let view = cluster.view();
@@ -105,10 +105,10 @@
         let Some(traits) = self.jobs.traits(StepRef::of(task)) else {
             return false;
         };
-        let left_ms = worker
+        let drain_remaining_ms = worker
             .drain_end_ms()
             .map_or(0, |drain_end_ms| drain_end_ms.saturating_sub(self.now_ms));
-        traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
+        traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > drain_remaining_ms
     }
 
     /// Whether the run hangs: reports list it, but its progress has not changed for too long. Long-running tasks never
@@ -123,9 +123,9 @@
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        let listed = self.now_ms.saturating_sub(run.listed_ms()) < STALL_MIN_MS
+        let is_listed = self.now_ms.saturating_sub(run.listed_ms()) < STALL_MIN_MS
             && worker.since_heartbeat_ms() < HEARTBEAT_FRESH_MS;
-        if step.long_running || !listed {
+        if step.long_running || !is_listed {
             return false;
         }
         let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_FRACTION) as u64);
@@ -134,7 +134,8 @@
         } else {
             0
         };
-        let gang_ms = if step.gang { self.bounds.gang_ms } else { 0 };
-        self.now_ms.saturating_sub(run.percent_ms()) > limit_ms + resume_cost_ms + gang_ms
+        let gang_wait_ms = if step.gang { self.bounds.gang_ms } else { 0 };
+        self.now_ms.saturating_sub(run.percent_changed_at_ms())
+            > limit_ms + resume_cost_ms + gang_wait_ms
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -92,15 +92,16 @@
     pub fn next_timer_ms(&self) -> u64 {
         let clock = self.cluster.clock();
         let due_wall_ms = self.cluster.jobs().next_repetition_wall_ms();
-        let due_ms = due_wall_ms.map_or(u64::MAX, |wall_ms| clock.steady_ms(wall_ms).max(0) as u64);
+        let repetition_due_ms =
+            due_wall_ms.map_or(u64::MAX, |wall_ms| clock.steady_ms(wall_ms).max(0) as u64);
         let passes = self.cluster.services().iter();
-        let pass_ms = passes
+        let pass_due_ms = passes
             .filter_map(|(_, service)| service.next_pass_ms())
             .min()
             .unwrap_or(u64::MAX);
-        due_ms
+        repetition_due_ms
             .min(self.next_tick_ms)
-            .min(pass_ms)
+            .min(pass_due_ms)
             .max(clock.now_ms() + 1)
     }
 
@@ -118,8 +119,8 @@
         effects.extend(self.cluster.take_write());
         self.release_deferred(effects);
         self.send_orders(effects);
-        let late = self.cluster.take_late_ends().into_iter();
-        effects.extend(late.map(|end| Effect::LateEnd(Box::new(end))));
+        let late_ends = self.cluster.take_late_ends().into_iter();
+        effects.extend(late_ends.map(|end| Effect::LateEnd(Box::new(end))));
     }
 
     /// Passes an event to the component that handles it.
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -25,9 +25,9 @@
     /// Steps with tasks to place.
     queue: Queue,
     /// Whether something has changed since the last pass that may allow a task to be placed.
-    dirty: bool,
+    pass_requested: bool,
     /// Whether a worker was added, removed or changed since the last pass, so that the kinds have to be regrouped.
-    regroup: bool,
+    regroup_requested: bool,
     /// The next pass over the queue does not begin before this time.
     next_pass_ms: u64,
 }
@@ -81,7 +81,7 @@
     /// Adds a step to the queue and requests a pass.
     pub(crate) fn enqueue(&mut self, key: QueueKey) {
         self.queue.insert(key);
-        self.dirty = true;
+        self.pass_requested = true;
     }
 
     /// Removes a step from the queue and releases its reservations.
@@ -90,30 +90,30 @@
         self.reservations.release(key.step_ref);
     }
 
-    /// Changes the position of a step in the queue from `before` to `key`.
-    pub(crate) fn reposition(&mut self, before: &QueueKey, key: QueueKey) {
-        self.queue.remove(before);
+    /// Changes the position of a step in the queue from `former_key` to `key`.
+    pub(crate) fn reposition(&mut self, former_key: &QueueKey, key: QueueKey) {
+        self.queue.remove(former_key);
         self.queue.insert(key);
     }
 
     /// Requests a pass, because something has changed that may allow a task to be placed.
     pub(crate) fn request_pass(&mut self) {
-        self.dirty = true;
+        self.pass_requested = true;
     }
 
     /// Requests a pass if the queue is not empty.
     pub(crate) fn request_pass_if_queued(&mut self) {
-        self.dirty |= !self.queue.is_empty();
+        self.pass_requested |= !self.queue.is_empty();
     }
 
     /// Requests a pass that first regroups the workers, because a worker was added, removed or changed.
     pub(crate) fn request_regroup(&mut self) {
-        (self.regroup, self.dirty) = (true, true);
+        (self.regroup_requested, self.pass_requested) = (true, true);
     }
 
     /// When the next pass is due, on the monotonic clock; `None` if none was requested.
     pub(crate) fn next_pass_ms(&self) -> Option<u64> {
-        (self.dirty || self.regroup).then_some(self.next_pass_ms)
+        (self.pass_requested || self.regroup_requested).then_some(self.next_pass_ms)
     }
 
     /// Whether a pass over the queue is due.
@@ -123,8 +123,8 @@
 
     /// Begins a pass over the queue: regroups the workers if that was requested. `name` is the service's name.
     pub(crate) fn begin_pass(&mut self, workers: &Workers, name: &str) {
-        self.dirty = false;
-        if std::mem::take(&mut self.regroup) {
+        self.pass_requested = false;
+        if std::mem::take(&mut self.regroup_requested) {
             self.kinds.regroup(workers, name);
         }
     }
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -11,7 +11,7 @@
 /// Minimum number of jobs with a conclusive run on a worker before the worker counts as slow.
 const JOBS_MIN: usize = 3;
 /// A worker counts as slow if the ratio of projected to expected run times, as the median over jobs, is at least this.
-const SLOWDOWN: f64 = 2.5;
+const SLOWDOWN_MIN: f64 = 2.5;
 /// A run is moved if its remaining time exceeds this multiple of its total time on a healthy worker plus
 /// [`STRAGGLER_MIN_MS`].
 const STRAGGLER_FACTOR: f64 = 1.3;
@@ -33,18 +33,18 @@
         let worker = self.workers.get(id)?;
         let mut by_job: BTreeMap<JobId, f64> = BTreeMap::new();
         for task in worker.runs() {
-            if let Some(projected) = self.projected(id, task) {
-                let ratio = projected.total_ms / projected.expected_ms.max(1.0);
+            if let Some(projected_run) = self.projected_run(id, task) {
+                let ratio = projected_run.total_ms / projected_run.expected_ms.max(1.0);
                 by_job
                     .entry(task.job)
-                    .and_modify(|least| *least = least.min(ratio))
+                    .and_modify(|smallest_ratio| *smallest_ratio = smallest_ratio.min(ratio))
                     .or_insert(ratio);
             }
         }
         let mut ratios: Vec<f64> = by_job.into_values().collect();
         ratios.sort_by(f64::total_cmp);
         let median = ratios.get(ratios.len() / 2).copied()?;
-        (ratios.len() >= JOBS_MIN && median >= SLOWDOWN).then_some(median)
+        (ratios.len() >= JOBS_MIN && median >= SLOWDOWN_MIN).then_some(median)
     }
 
     /// Whether a run on a slow worker should be moved, because a new run elsewhere is expected to end first. `slowdown`
@@ -53,17 +53,17 @@
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
         };
-        let Some(projected) = self.projected(id, task) else {
+        let Some(projected_run) = self.projected_run(id, task) else {
             return false;
         };
         !step.gang
             && self.remaining_ms(id, task) as f64
-                > STRAGGLER_FACTOR * projected.total_ms / slowdown + STRAGGLER_MIN_MS
+                > STRAGGLER_FACTOR * projected_run.total_ms / slowdown + STRAGGLER_MIN_MS
     }
 
     /// Projected and expected total time of a run; `None` for long-running tasks and while the progress is not
     /// conclusive.
-    fn projected(&self, id: WorkerId, task: &TaskName) -> Option<ProjectedRun> {
+    fn projected_run(&self, id: WorkerId, task: &TaskName) -> Option<ProjectedRun> {
         let job = self.jobs.get(&task.job)?;
         let run = self
             .run_at(id, task)
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -5,7 +5,7 @@
 pub(crate) struct Periodic {
     period_ms: u64,
     /// When the timer is due next.
-    next_ms: u64,
+    next_due_ms: u64,
 }
 
 impl Periodic {
@@ -13,16 +13,16 @@
     pub(crate) fn new(period_ms: u64, now_ms: u64) -> Self {
         Periodic {
             period_ms,
-            next_ms: now_ms,
+            next_due_ms: now_ms,
         }
     }
 
     /// Returns whether the timer is due; if so, restarts the period now.
     pub(crate) fn take_due(&mut self, now_ms: u64) -> bool {
-        if now_ms < self.next_ms {
+        if now_ms < self.next_due_ms {
             return false;
         }
-        self.next_ms = now_ms + self.period_ms;
+        self.next_due_ms = now_ms + self.period_ms;
         true
     }
 }
