--- a/crates/scheduler/src/unexpected_runs.rs
+++ b/crates/scheduler/src/unexpected_runs.rs
@@ -14,7 +14,7 @@
     lost: Vec<RunId>,
     /// When the node agent sent the report whose answer ordered the stops of the lost runs, on the agent's clock;
     /// `None` while no such answer was sent.
-    lost_stopped_ms: Option<u64>,
+    lost_stop_sent_ms: Option<u64>,
 }
 
 impl UnexpectedRuns {
@@ -53,14 +53,14 @@
         if self.lost.is_empty() {
             return stops;
         }
-        match self.lost_stopped_ms {
+        match self.lost_stop_sent_ms {
             Some(stopped_ms) if sent_ms > stopped_ms => {
                 self.lost.clear();
-                self.lost_stopped_ms = None;
+                self.lost_stop_sent_ms = None;
             }
             _ => {
                 stops.extend(self.lost.iter().copied());
-                self.lost_stopped_ms = Some(sent_ms);
+                self.lost_stop_sent_ms = Some(sent_ms);
             }
         }
         stops
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -50,9 +50,9 @@
     since_heartbeat_ms: u64,
     /// When a report of the node agent was answered last; before that, when the instance was entered. The leases of the
     /// instance are valid for a limited time from then.
-    answered_ms: u64,
+    answered_at_ms: u64,
     /// When the leases expired without a report; `None` while they may be valid.
-    expired_ms: Option<u64>,
+    expired_at_ms: Option<u64>,
     /// Runs that the instance has or may have though they are not outstanding there.
     unexpected: UnexpectedRuns,
     /// Highest number of a finished run that was handled; 0 for none.
@@ -85,8 +85,8 @@
             full_report_received: false,
             last_report_ms: now_ms,
             since_heartbeat_ms: 0,
-            answered_ms: now_ms,
-            expired_ms: None,
+            answered_at_ms: now_ms,
+            expired_at_ms: None,
             unexpected: UnexpectedRuns::default(),
             handled_end: 0,
             committed_end: 0,
@@ -168,28 +168,30 @@
 
     /// Applies the instance's attributes from a report. Returns whether its service, capacity, labels or state changed.
     pub(crate) fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
-        let changed = self.backend != report.backend
+        let has_changed = self.backend != report.backend
             || self.capacity != report.capacity
             || self.labels != report.labels
             || self.state != report.state;
-        if changed {
+        if has_changed {
             self.backend.clone_from(&report.backend);
             self.labels.clone_from(&report.labels);
             (self.capacity, self.state) = (report.capacity, report.state);
         }
-        self.drain_end_ms = report.remaining_ms.map(|left| now_ms + left);
+        self.drain_end_ms = report
+            .remaining_ms
+            .map(|remaining_ms| now_ms + remaining_ms);
         self.warm_up_until_ms = now_ms + report.warmup_remaining_ms;
         (self.last_report_ms, self.since_heartbeat_ms) = (now_ms, report.since_heartbeat_ms);
-        changed
+        has_changed
     }
 
     /// Sets the machine that the instance is on; returns whether it changed.
     pub(crate) fn set_node(&mut self, node_name: &str) -> bool {
-        let changed = self.node_name.as_deref() != Some(node_name);
-        if changed {
+        let has_changed = self.node_name.as_deref() != Some(node_name);
+        if has_changed {
             self.node_name = Some(node_name.to_owned());
         }
-        changed
+        has_changed
     }
 
     /// Machine that the instance and its node agent run on; `None` until that is known from a report or a stored row.
@@ -199,11 +201,11 @@
 
     /// Sets the machine that the instance's stored row names; returns whether it changed.
     pub(crate) fn set_recorded_node(&mut self, node_name: &str) -> bool {
-        let changed = self.recorded_node.as_deref() != Some(node_name);
-        if changed {
+        let has_changed = self.recorded_node.as_deref() != Some(node_name);
+        if has_changed {
             self.recorded_node = Some(node_name.to_owned());
         }
-        changed
+        has_changed
     }
 
     /// Whether the instance has a stored row.
@@ -227,27 +229,27 @@
 
     /// Records that a report of the node agent is answered: the answer extends its authority to grant run leases.
     pub(crate) fn record_answer(&mut self, now_ms: u64) {
-        self.answered_ms = now_ms;
+        self.answered_at_ms = now_ms;
     }
 
     /// When a report of the node agent was answered last; before that, when the instance was entered.
-    pub(crate) fn answered_ms(&self) -> u64 {
-        self.answered_ms
+    pub(crate) fn answered_at_ms(&self) -> u64 {
+        self.answered_at_ms
     }
 
     /// Records that the leases have expired without a report.
     pub(crate) fn record_expiry(&mut self, now_ms: u64) {
-        self.expired_ms = Some(now_ms);
+        self.expired_at_ms = Some(now_ms);
     }
 
     /// Records that the instance is reported again; returns whether its leases had expired.
     pub(crate) fn clear_expiry(&mut self) -> bool {
-        self.expired_ms.take().is_some()
+        self.expired_at_ms.take().is_some()
     }
 
     /// When the leases expired without a report; `None` while they may be valid.
-    pub(crate) fn expired_ms(&self) -> Option<u64> {
-        self.expired_ms
+    pub(crate) fn expired_at_ms(&self) -> Option<u64> {
+        self.expired_at_ms
     }
 
     /// Records that the ends of runs up to this number have been handled.
@@ -302,7 +304,7 @@
     pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_responsive(now_ms)
             && self.full_report_received
-            && self.expired_ms.is_none()
+            && self.expired_at_ms.is_none()
             && self.unexpected.is_empty()
             && now_ms >= self.backoff_until_ms
     }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -35,7 +35,7 @@
     /// Newest connection of each machine, by the machine's name.
     connection_of_node: FxHashMap<String, AgentId>,
     /// Number of the next instance.
-    next: u32,
+    next_number: u32,
     /// Time after the latest answer to a node agent's report when all leases of its instance have expired, in
     /// milliseconds.
     lease_expiry_ms: u64,
@@ -51,7 +51,7 @@
             by_node: FxHashMap::default(),
             connections: FxHashMap::default(),
             connection_of_node: FxHashMap::default(),
-            next: 0,
+            next_number: 0,
             lease_expiry_ms: longest_ms * CLOCK_PERCENT / 100 + EXPIRY_MARGIN_MS,
         }
     }
@@ -76,8 +76,8 @@
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
         }
-        let id = WorkerId(self.next);
-        self.next += 1;
+        let id = WorkerId(self.next_number);
+        self.next_number += 1;
         self.by_instance.insert(instance.to_owned(), id);
         self.instances
             .insert(id, Worker::new(instance.to_owned(), now_ms));
@@ -208,7 +208,7 @@
     /// Instances whose leases have all expired by now and that are not marked as expired yet.
     pub(crate) fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let has_expired = |w: &Worker| {
-            w.expired_ms().is_none() && now_ms >= w.answered_ms() + self.lease_expiry_ms
+            w.expired_at_ms().is_none() && now_ms >= w.answered_at_ms() + self.lease_expiry_ms
         };
         self.iter()
             .filter(|(_, worker)| has_expired(worker))
@@ -219,7 +219,7 @@
     /// Expired instances that can be forgotten.
     pub(crate) fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let old = |w: &Worker| {
-            w.expired_ms()
+            w.expired_at_ms()
                 .is_some_and(|at| now_ms >= at + EXPIRED_FORGET_MS)
         };
         self.iter()
--- a/crates/scheduler/tests/checkpoints.rs
+++ b/crates/scheduler/tests/checkpoints.rs
@@ -44,8 +44,8 @@
     cluster.run_for(200);
     let id = cluster.submit("bulk", 1, spec(vec![checkpointed(1, 60_000)]));
     cluster.run_for(5_000);
-    let first = cluster.busy_nodes()[0];
-    cluster.disconnect(first);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.disconnect(first_node);
     cluster.run_for(EXPIRED_MS + 500);
     assert!(
         resumed_half_seconds(&cluster)[0] >= 6,
@@ -60,8 +60,8 @@
     let mut cluster = Cluster::started(2);
     let id = cluster.submit("bulk", 1, spec(vec![checkpointed(1, 6_000)]));
     cluster.run_for(4_000);
-    let first = cluster.busy_nodes()[0];
-    cluster.nodes[first].crash(cluster.now_ms, 500);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.nodes[first_node].crash(cluster.now_ms, 500);
     cluster.run_for(400);
     assert!(
         resumed_half_seconds(&cluster)[0] >= 4,
@@ -74,7 +74,7 @@
 /// The head and the workers are lost at the same moment: the tasks resume from the progress that was stored a few
 /// seconds before.
 #[test]
-fn a_successor_reads_checkpoints_from_the_rows() {
+fn a_new_head_reads_checkpoints_from_the_rows() {
     for run_ms in [4_000, 4_700, 5_500, 7_300] {
         let mut cluster = Cluster::new(run_ms);
         cluster.fault_free = false;
@@ -87,11 +87,14 @@
             .for_each(|node| cluster.nodes[node].crash(cluster.now_ms, 500));
         cluster.fail_over();
         cluster.run_for(1_000);
-        let least = (run_ms - 3_500) / 500;
-        let resumed = resumed_half_seconds(&cluster);
+        let min_half_seconds = (run_ms - 3_500) / 500;
+        let resumed_from = resumed_half_seconds(&cluster);
         assert!(
-            resumed.len() == 2 && resumed.iter().all(|half_seconds| *half_seconds >= least),
-            "{resumed:?}"
+            resumed_from.len() == 2
+                && resumed_from
+                    .iter()
+                    .all(|half_seconds| *half_seconds >= min_half_seconds),
+            "{resumed_from:?}"
         );
         cluster.cancel(id);
     }
@@ -111,14 +114,14 @@
     };
     let id = cluster.submit("vision", 1, spec(vec![gang]));
     cluster.run_for(5_000);
-    let first = cluster.busy_nodes()[0];
-    cluster.nodes[first].crash(cluster.now_ms, 500);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.nodes[first_node].crash(cluster.now_ms, 500);
     cluster.fail_over();
     cluster.run_for(1_500);
-    let resumed = resumed_half_seconds(&cluster);
+    let resumed_from = resumed_half_seconds(&cluster);
     assert!(
-        resumed.len() == 2 && resumed.iter().all(|half_seconds| *half_seconds >= 4),
-        "{resumed:?}"
+        resumed_from.len() == 2 && resumed_from.iter().all(|half_seconds| *half_seconds >= 4),
+        "{resumed_from:?}"
     );
     completes(&mut cluster, id);
 }
@@ -134,20 +137,20 @@
     };
     let id = cluster.submit("vision", 1, spec(vec![gang]));
     cluster.run_for(4_000);
-    let first = cluster.busy_nodes()[0];
-    cluster.nodes[first].drain_end_ms = Some(cluster.now_ms + 2_500);
-    cluster.nodes[first].report_now = true;
+    let first_node = cluster.busy_nodes()[0];
+    cluster.nodes[first_node].drain_end_ms = Some(cluster.now_ms + 2_500);
+    cluster.nodes[first_node].report_now = true;
     cluster.run_for(1_200);
-    let resumed = resumed_half_seconds(&cluster);
+    let resumed_from = resumed_half_seconds(&cluster);
     assert!(
-        !cluster.nodes[first]
+        !cluster.nodes[first_node]
             .running
             .keys()
             .any(|run| run.task.job == id)
     );
     assert!(
-        resumed.len() == 2 && resumed.iter().all(|half_seconds| *half_seconds >= 6),
-        "{resumed:?}"
+        resumed_from.len() == 2 && resumed_from.iter().all(|half_seconds| *half_seconds >= 6),
+        "{resumed_from:?}"
     );
     cluster.run_for(4_000);
     completes(&mut cluster, id);
@@ -161,8 +164,11 @@
         cluster.submit("bulk", 1 + number, spec(vec![checkpointed(4, 60_000)]));
     }
     cluster.run_for(1_000);
-    let before = cluster.writes_made;
+    let writes_before = cluster.writes_made;
     cluster.run_for(20_000);
-    let made = cluster.writes_made - before;
-    assert!((5..=13).contains(&made), "{made} writes in 20 s");
+    let writes_made = cluster.writes_made - writes_before;
+    assert!(
+        (5..=13).contains(&writes_made),
+        "{writes_made} writes in 20 s"
+    );
 }
--- a/crates/scheduler/tests/clock.rs
+++ b/crates/scheduler/tests/clock.rs
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::forward(2_400_000)]
 #[case::back(-2_400_000)]
-fn a_wall_clock_step_does_not_move_due_times(#[case] by_ms: i64) {
+fn a_wall_clock_step_does_not_move_due_times(#[case] step_ms: i64) {
     let mut cluster = Cluster::started(1);
     let start_at_ms = cluster.wall_ms() + 4_000;
     let job = JobSpec {
@@ -20,7 +20,7 @@
     };
     let id = cluster.submit("quick", 1, job);
     cluster.run_for(1_000);
-    cluster.clock_step_ms = by_ms;
+    cluster.clock_step_ms = step_ms;
     cluster.run_for(5_000);
     cluster.clock_step_ms = 0;
     cluster.run_for(2_000);
--- a/crates/scheduler/tests/cluster/idle_jobs.rs
+++ b/crates/scheduler/tests/cluster/idle_jobs.rs
@@ -32,9 +32,9 @@
     /// Whether the job has no run although a ready task of it has capacity.
     fn is_idle(&self, id: JobId) -> bool {
         let job = &self.jobs[&id];
-        let ended =
+        let is_closed =
             job.accepted_ms.is_none() || job.cancelled_ms.is_some() || job.ended_ms.is_some();
-        if ended
+        if is_closed
             || self
                 .nodes
                 .iter()
@@ -45,8 +45,9 @@
         if self.is_given_up(id, job) {
             return false;
         }
-        let due = (0..job.spec.repeat_count.max(1)).filter(|repeat| self.is_due(job, *repeat));
-        due.into_iter().any(|repeat| {
+        let due_repeats =
+            (0..job.spec.repeat_count.max(1)).filter(|repeat| self.is_due(job, *repeat));
+        due_repeats.into_iter().any(|repeat| {
             let is_ready = |step: &usize| self.is_step_ready(id, job, repeat, *step);
             (0..job.spec.stages.len())
                 .filter(is_ready)
@@ -56,20 +57,22 @@
 
     /// Whether a task, or a gang, of the job has failed [`RETRIES`] times.
     fn is_given_up(&self, id: JobId, job: &ClientJob) -> bool {
-        let mut failed: BTreeMap<TaskName, BTreeSet<u32>> = BTreeMap::new();
+        let mut failed_attempts: BTreeMap<TaskName, BTreeSet<u32>> = BTreeMap::new();
         for (task, history) in self.history.iter().filter(|(task, _)| task.job == id) {
             let gang = job.spec.stages[task.step as usize].gang;
-            let counted = if gang {
+            let counted_task = if gang {
                 TaskName { index: 0, ..*task }
             } else {
                 *task
             };
-            failed
-                .entry(counted)
+            failed_attempts
+                .entry(counted_task)
                 .or_default()
                 .extend(&history.failed_acknowledged);
         }
-        failed.values().any(|attempts| attempts.len() >= RETRIES)
+        failed_attempts
+            .values()
+            .any(|attempts| attempts.len() >= RETRIES)
     }
 
     fn is_due(&self, job: &ClientJob, repeat: u32) -> bool {
@@ -80,10 +83,10 @@
     /// Whether the step is not done but all steps that it depends on are.
     fn is_step_ready(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
         let depends_on = &job.spec.stages[step].depends_on;
-        let before = depends_on
+        let are_dependencies_done = depends_on
             .iter()
-            .all(|before| self.step_done(id, job, repeat, *before as usize));
-        before && !self.step_done(id, job, repeat, step)
+            .all(|dependency| self.step_done(id, job, repeat, *dependency as usize));
+        are_dependencies_done && !self.step_done(id, job, repeat, step)
     }
 
     fn step_done(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
@@ -100,17 +103,17 @@
             .iter()
             .find(|r| r.name == job.route)
             .map(|r| &r.backend);
-        let of_service = || {
+        let service_nodes = || {
             self.nodes
                 .iter()
                 .filter(|node| Some(&node.backend) == backend && node.up)
         };
-        let used: u64 = of_service().map(|node| node.used().cpu).sum();
-        let all: u64 = of_service().map(|node| node.capacity.cpu).sum();
-        let labelled =
+        let used_cpu: u64 = service_nodes().map(|node| node.used().cpu).sum();
+        let total_cpu: u64 = service_nodes().map(|node| node.capacity.cpu).sum();
+        let has_label =
             |labels: &[String]| step.requirements.is_empty() || labels.contains(&step.requirements);
-        let fitting = of_service()
-            .filter(|node| node.connected && node.drain_end_ms.is_none() && labelled(&node.labels))
+        let fitting_tasks = service_nodes()
+            .filter(|node| node.connected && node.drain_end_ms.is_none() && has_label(&node.labels))
             .map(|node| fits(node.capacity.minus(&node.used()), step.resources()))
             .map(|count| {
                 if step.anti_affinity > 0 {
@@ -119,19 +122,19 @@
                     count
                 }
             });
-        let wanted = if step.gang {
+        let wanted_tasks = if step.gang {
             u64::from(step.count) * 2
         } else {
             2
         };
-        2 * used < all && fitting.sum::<u64>() >= wanted
+        2 * used_cpu < total_cpu && fitting_tasks.sum::<u64>() >= wanted_tasks
     }
 }
 
 /// Number of tasks that fit into the free resources.
 fn fits(free: Resources, task: Resources) -> u64 {
-    let by = |free: u64, task: u64| free.checked_div(task).unwrap_or(u64::MAX);
-    by(free.cpu, task.cpu)
-        .min(by(free.mem_mb, task.mem_mb))
-        .min(by(free.gpu, task.gpu))
+    let fitting_count = |free: u64, task: u64| free.checked_div(task).unwrap_or(u64::MAX);
+    fitting_count(free.cpu, task.cpu)
+        .min(fitting_count(free.mem_mb, task.mem_mb))
+        .min(fitting_count(free.gpu, task.gpu))
 }
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -97,12 +97,12 @@
     /// Checks that the checkpoint of a start order is one of the same job, and that it is the same for all members of a
     /// gang.
     fn check_checkpoint(&self, order: &StartOrder, gang: bool) {
-        let own = order.checkpoint.is_empty()
+        let is_own = order.checkpoint.is_empty()
             || order
                 .checkpoint
                 .starts_with(&order.run.task.job.to_string());
         assert!(
-            own,
+            is_own,
             "{} resumes from `{}`, which is no checkpoint of its job",
             order.run.task, order.checkpoint
         );
@@ -124,10 +124,10 @@
                 .history
                 .get(&run.task)
                 .and_then(|history| history.done_acknowledged_ms);
-            let late =
-                acknowledged_ms.is_some_and(|acknowledged| self.now_ms >= acknowledged + 1_000);
+            let is_late = acknowledged_ms
+                .is_some_and(|is_acknowledged| self.now_ms >= is_acknowledged + 1_000);
             return assert!(
-                !late,
+                !is_late,
                 "a speculative run of {} is started 1 s or more after a `done` of it was acknowledged",
                 run.task
             );
@@ -141,12 +141,12 @@
                 node.name
             );
         }
-        let acknowledged = self
+        let is_acknowledged = self
             .history
             .get(&run.task)
             .is_some_and(|history| history.done_acknowledged);
         assert!(
-            !acknowledged,
+            !is_acknowledged,
             "{} is started after a `done` of it was acknowledged",
             run.task
         );
@@ -154,12 +154,12 @@
 
     /// Checks that all steps that the task depends on are done, and that its repetition is due.
     fn check_dependencies(&self, task: TaskName, job: &ClientJob) {
-        for &before in &job.spec.stages[task.step as usize].depends_on {
-            let step = &job.spec.stages[before as usize];
-            let done = self.tasks_done(task.job, task.repeat, before as usize, step);
+        for &dependency in &job.spec.stages[task.step as usize].depends_on {
+            let step = &job.spec.stages[dependency as usize];
+            let done = self.tasks_done(task.job, task.repeat, dependency as usize, step);
             assert!(
                 is_complete(step, done),
-                "{task} is started before step {before} is complete"
+                "{task} is started before step {dependency} is complete"
             );
         }
         if job.spec.repeat_count > 0 {
@@ -189,17 +189,17 @@
             step.requirements.is_empty() || worker.labels.contains(&step.requirements),
             "{task} is started on a worker without the required label"
         );
-        let same =
+        let is_same_step =
             |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
-        let here = worker
+        let tasks_here = worker
             .running
             .keys()
             .filter(|other| other.task.job == task.job)
-            .filter(same)
+            .filter(is_same_step)
             .count() as u32;
         assert!(
-            step.anti_affinity == 0 || here < step.anti_affinity,
-            "{task} is started on a worker that has {here} tasks of its step already, as many as anti_affinity allows"
+            step.anti_affinity == 0 || tasks_here < step.anti_affinity,
+            "{task} is started on a worker that has {tasks_here} tasks of its step already, as many as anti_affinity allows"
         );
         if let Some(reported_ms) = worker.drain_reported_ms {
             assert!(
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -123,7 +123,7 @@
     /// Whether the test injects no faults that may leave a gang incomplete.
     pub fault_free: bool,
     /// Late ends that the scheduler has reported.
-    pub late: Vec<LateEnd>,
+    pub late_ends: Vec<LateEnd>,
     pub writes_made: u64,
     /// Work lost by stops, in core-milliseconds.
     pub stopped_core_ms: f64,
@@ -160,7 +160,7 @@
             work: BTreeMap::new(),
             replies: Vec::new(),
             fault_free: true,
-            late: Vec::new(),
+            late_ends: Vec::new(),
             writes_made: 0,
             stopped_core_ms: 0.0,
             clock_step_ms: 0,
@@ -199,7 +199,7 @@
                     });
                 }
                 Effect::Reply { reply, .. } => self.handle_reply(reply),
-                Effect::LateEnd(end) => self.late.push(*end),
+                Effect::LateEnd(end) => self.late_ends.push(*end),
                 Effect::Orders { agent, orders } => {
                     self.send(Message::Orders(agent, orders));
                 }
@@ -225,14 +225,14 @@
     }
 
     pub(crate) fn disconnect(&mut self, node: usize) {
-        let closed: Vec<AgentId> = self
+        let closed_connections: Vec<AgentId> = self
             .connections
             .iter()
             .filter(|(_, index)| **index == node)
             .map(|(id, _)| *id)
             .collect();
         self.nodes[node].connected = false;
-        for agent in closed {
+        for agent in closed_connections {
             self.connections.remove(&agent);
             self.handle(Event::AgentDisconnected(agent));
         }
@@ -242,8 +242,11 @@
     /// rows.
     pub(crate) fn fail_over(&mut self) {
         self.epoch += 1;
-        let committed = self.rng.below(self.writes.len() as u64 + 1) as usize;
-        for pending in std::mem::take(&mut self.writes).into_iter().take(committed) {
+        let committed_writes = self.rng.below(self.writes.len() as u64 + 1) as usize;
+        for pending in std::mem::take(&mut self.writes)
+            .into_iter()
+            .take(committed_writes)
+        {
             apply(&mut self.rows, pending.changes);
         }
         self.messages.clear();
@@ -333,18 +336,18 @@
         });
     }
 
-    fn record_acknowledged_ends(&mut self, node: usize, acknowledged: u64) {
+    fn record_acknowledged_ends(&mut self, node: usize, acknowledged_end: u64) {
         let state = &mut self.nodes[node];
         assert!(
-            acknowledged < state.next_end,
-            "end {acknowledged} was acknowledged but never reported"
+            acknowledged_end < state.next_end,
+            "end {acknowledged_end} was acknowledged but never reported"
         );
-        let before = state.acknowledged;
-        state.acknowledged = before.max(acknowledged);
+        let former_end = state.acknowledged;
+        state.acknowledged = former_end.max(acknowledged_end);
         for end in state
             .ends
             .iter()
-            .filter(|end| end.number > before && end.number <= acknowledged)
+            .filter(|end| end.number > former_end && end.number <= acknowledged_end)
         {
             let history = self.history.entry(end.run.task).or_default();
             match end.end {
@@ -358,7 +361,7 @@
                 _ => {}
             }
         }
-        state.ends.retain(|end| end.number > acknowledged);
+        state.ends.retain(|end| end.number > acknowledged_end);
     }
 
     fn advance_node(&mut self, node: usize) {
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -127,12 +127,12 @@
         format!("i-{}-{}", self.name, self.incarnation)
     }
 
-    /// The worker crashes and comes back as another instance after `back_ms`.
-    pub(crate) fn crash(&mut self, now_ms: u64, back_ms: u64) {
+    /// The worker crashes and comes back as another instance after `downtime_ms`.
+    pub(crate) fn crash(&mut self, now_ms: u64, downtime_ms: u64) {
         self.ended_instances.push(self.instance());
         self.incarnation += 1;
         self.up = false;
-        self.boot_ms = now_ms + back_ms;
+        self.boot_ms = now_ms + downtime_ms;
         self.running.clear();
         self.ends.clear();
         (self.next_end, self.acknowledged, self.leased_until_ms) = (1, 0, 0);
@@ -215,24 +215,27 @@
             return Vec::new();
         }
         self.leased_until_ms = self.leased_until_ms.max(now_ms + RUN_LEASE_MS);
-        let mut delivered = Vec::new();
-        let mut used = self.used();
+        let mut delivered_orders = Vec::new();
+        let mut used_resources = self.used();
         for (run, order) in std::mem::take(&mut self.undelivered) {
             if self.drain_end_ms.is_some() {
                 self.closed_runs.insert(run);
                 self.not_started.push(run);
                 self.report_now = true;
-            } else if self.capacity.can_fit(&used.plus(&order.resources)) {
-                used = used.plus(&order.resources);
-                delivered.push(order);
+            } else if self
+                .capacity
+                .can_fit(&used_resources.plus(&order.resources))
+            {
+                used_resources = used_resources.plus(&order.resources);
+                delivered_orders.push(order);
             } else {
                 panic!(
-                    "{run:?} does not fit on {} beside runs that take {used:?}",
+                    "{run:?} does not fit on {} beside runs that take {used_resources:?}",
                     self.name
                 );
             }
         }
-        delivered
+        delivered_orders
     }
 
     /// The node agent's report, if one is due.
@@ -265,7 +268,7 @@
         } else {
             WorkerState::Ready
         };
-        let listed = |(run, active): (&RunId, &ActiveRun)| RunningRun {
+        let to_running_run = |(run, active): (&RunId, &ActiveRun)| RunningRun {
             run: *run,
             checkpoint: active.checkpoint(now_ms),
             percent: if self.hangs {
@@ -286,7 +289,7 @@
             capacity: self.capacity,
             labels: self.labels.clone(),
             since_heartbeat_ms: 0,
-            running: with_runs.then(|| self.running.iter().map(listed).collect()),
+            running: with_runs.then(|| self.running.iter().map(to_running_run).collect()),
             finished: self
                 .ends
                 .iter()
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -29,8 +29,8 @@
     pub(super) fn run_node(&mut self, node: usize) {
         let now_ms = self.now_ms;
         if now_ms >= self.nodes[node].leased_until_ms {
-            let expired: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
-            expired
+            let expired_runs: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
+            expired_runs
                 .into_iter()
                 .for_each(|run| self.nodes[node].end(run, RunEnd::Expired, String::new()));
         }
@@ -60,8 +60,9 @@
             return;
         };
         if active.stop_ms.is_some_and(|stop| now_ms >= stop) {
-            let ran_ms = active.began_ms.map_or(0, |began| now_ms - began);
-            self.stopped_core_ms += ran_ms as f64 * active.order.resources.cpu as f64 / 1_000.0;
+            let run_duration_ms = active.began_ms.map_or(0, |began| now_ms - began);
+            self.stopped_core_ms +=
+                run_duration_ms as f64 * active.order.resources.cpu as f64 / 1_000.0;
             return self.nodes[node].end(run, RunEnd::Stopped, active.checkpoint(now_ms));
         }
         let Some(began_ms) = active.began_ms else {
@@ -88,21 +89,21 @@
 
     /// Nodes and IDs of all current runs of the same gang attempt, including `run`.
     pub(super) fn gang_members(&self, run: RunId) -> Vec<(usize, RunId)> {
-        let same = |other: &RunId| {
+        let is_same_gang = |other: &RunId| {
             other.attempt == run.attempt
                 && (other.task.job, other.task.repeat, other.task.step)
                     == (run.task.job, run.task.repeat, run.task.step)
         };
-        let on = |(node, state): (usize, &Node)| {
-            let here: Vec<(usize, RunId)> = state
+        let members_on = |(node, state): (usize, &Node)| {
+            let node_members: Vec<(usize, RunId)> = state
                 .running
                 .keys()
-                .filter(|r| same(r))
+                .filter(|r| is_same_gang(r))
                 .map(|r| (node, *r))
                 .collect();
-            here
+            node_members
         };
-        self.nodes.iter().enumerate().flat_map(on).collect()
+        self.nodes.iter().enumerate().flat_map(members_on).collect()
     }
 
     /// Begins the work of a gang once all its members are present; ends a member that has waited too long alone.
--- a/crates/scheduler/tests/idle_jobs.rs
+++ b/crates/scheduler/tests/idle_jobs.rs
@@ -17,30 +17,30 @@
     LongRunning,
 }
 
-fn step_with(what: Constraint) -> Step {
-    let plain = step(2, 240, 400);
-    match what {
-        Constraint::Unconstrained => plain,
+fn step_with(constraint: Constraint) -> Step {
+    let plain_step = step(2, 240, 400);
+    match constraint {
+        Constraint::Unconstrained => plain_step,
         Constraint::Label => Step {
             requirements: "b".to_owned(),
-            ..plain
+            ..plain_step
         },
         Constraint::Spread => Step {
             anti_affinity: 1,
-            ..plain
+            ..plain_step
         },
         Constraint::Rack => Step {
             affinity: "r1-2".to_owned(),
-            ..plain
+            ..plain_step
         },
         Constraint::Gang => Step {
             gang: true,
             rack_local: true,
-            ..plain
+            ..plain_step
         },
         Constraint::LongRunning => Step {
             long_running: true,
-            ..plain
+            ..plain_step
         },
     }
 }
@@ -60,7 +60,7 @@
         Constraint::Gang,
         Constraint::LongRunning
     )]
-    what: Constraint,
+    constraint: Constraint,
     #[values(true, false)] with_long_running_work: bool,
     #[values(true, false)] recovers: bool,
 ) {
@@ -86,7 +86,7 @@
     }
     set_fails(&mut cluster, !recovers);
     for number in 0..12 {
-        cluster.submit("quick", 1 + number, spec(vec![step_with(what)]));
+        cluster.submit("quick", 1 + number, spec(vec![step_with(constraint)]));
         cluster.run_for(700);
     }
     cluster.run_for(6_000);
@@ -126,11 +126,11 @@
 #[case::long(Step { gpu: 1, ..step(2, 2_000, 9_000) })]
 #[case::long_running(Step { long_running: true, gpu: 1, ..step(2, 2_000, 500) })]
 #[case::large(Step { gpu: 3, ..step(1, 9_000, 9_000) })]
-fn waiting_for_reserved_workers_is_bounded(#[case] other: Step) {
+fn waiting_for_reserved_workers_is_bounded(#[case] other_step: Step) {
     let mut cluster = with_waiting_gang(2, 30_000);
     cluster.run_for(300);
     for number in 0..3 {
-        cluster.submit("vision", 3 + number, spec(vec![other.clone()]));
+        cluster.submit("vision", 3 + number, spec(vec![other_step.clone()]));
         cluster.run_for(400);
     }
     cluster.run_for(6_000);
--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -97,33 +97,37 @@
 
 /// Injects faults of this kind at random, on a random node or job.
 fn inject_fault(cluster: &mut Cluster, kind: Fault, ids: &[JobId]) {
-    let all = matches!(kind, Fault::All);
+    let injects_all = matches!(kind, Fault::All);
     let nodes = cluster.nodes.len() as u64;
     let node = cluster.rng.below(nodes) as usize;
-    if (all || matches!(kind, Fault::Cancels)) && cluster.rng.chance(25) && !ids.is_empty() {
+    if (injects_all || matches!(kind, Fault::Cancels)) && cluster.rng.chance(25) && !ids.is_empty()
+    {
         let id = ids[cluster.rng.below(ids.len() as u64) as usize];
         cluster.cancel(id);
     }
-    if (all || matches!(kind, Fault::Crashes)) && cluster.rng.chance(8) && cluster.nodes[node].up {
-        let back_ms = 300 + cluster.rng.below(3_000);
-        cluster.nodes[node].crash(cluster.now_ms, back_ms);
+    if (injects_all || matches!(kind, Fault::Crashes))
+        && cluster.rng.chance(8)
+        && cluster.nodes[node].up
+    {
+        let downtime_ms = 300 + cluster.rng.below(3_000);
+        cluster.nodes[node].crash(cluster.now_ms, downtime_ms);
     }
-    if (all || matches!(kind, Fault::Partitions)) && cluster.rng.chance(8) {
+    if (injects_all || matches!(kind, Fault::Partitions)) && cluster.rng.chance(8) {
         if cluster.nodes[node].connected {
             cluster.disconnect(node);
         } else {
             cluster.connect(node);
         }
     }
-    if (all || matches!(kind, Fault::Failovers)) && cluster.rng.chance(4) {
+    if (injects_all || matches!(kind, Fault::Failovers)) && cluster.rng.chance(4) {
         cluster.fail_over();
     }
-    if (all || matches!(kind, Fault::Draining)) && cluster.rng.chance(4) {
+    if (injects_all || matches!(kind, Fault::Draining)) && cluster.rng.chance(4) {
         let until_ms = cluster.now_ms + 1_500 + cluster.rng.below(4_000);
         cluster.nodes[node].drain_end_ms.get_or_insert(until_ms);
         cluster.nodes[node].report_now = true;
     }
-    if (all || matches!(kind, Fault::Hangs)) && cluster.rng.chance(3) {
+    if (injects_all || matches!(kind, Fault::Hangs)) && cluster.rng.chance(3) {
         cluster.nodes[node].hangs ^= true;
     }
 }
@@ -161,17 +165,17 @@
     }
     for _ in 0..60 {
         cluster.run_for(1_000);
-        let open = ids
+        let open_jobs = ids
             .iter()
             .filter(|id| cluster.jobs[id].ended_ms.is_none())
             .copied();
-        let open: Vec<JobId> = open
+        let open_jobs: Vec<JobId> = open_jobs
             .filter(|id| cluster.jobs[id].accepted_ms.is_some())
             .collect();
-        if open.is_empty() {
+        if open_jobs.is_empty() {
             break;
         }
-        open.into_iter().for_each(|id| cluster.get(id));
+        open_jobs.into_iter().for_each(|id| cluster.get(id));
     }
     for id in ids {
         let job = &cluster.jobs[id];
--- a/crates/scheduler/tests/job_lifecycle.rs
+++ b/crates/scheduler/tests/job_lifecycle.rs
@@ -42,21 +42,21 @@
 #[test]
 fn a_job_that_keeps_failing_is_failed_and_others_go_on() {
     let mut cluster = Cluster::new(3);
-    let bad = cluster.submit("quick", 3, spec(vec![step(2, 240, 100)]));
+    let failing_job = cluster.submit("quick", 3, spec(vec![step(2, 240, 100)]));
     let task = indigofold_protocol::task::TaskName {
-        job: bad,
+        job: failing_job,
         repeat: 0,
         step: 0,
         index: 1,
     };
     cluster.set_work(task, 100, 99);
-    let good = cluster.submit("quick", 4, spec(vec![step(2, 240, 100)]));
+    let other_job = cluster.submit("quick", 4, spec(vec![step(2, 240, 100)]));
     cluster.run_for(5_000);
-    cluster.get(bad);
-    cluster.get(good);
+    cluster.get(failing_job);
+    cluster.get(other_job);
     cluster.run_for(50);
-    assert_eq!(cluster.jobs[&bad].state, Some(JobState::Failed));
-    assert_eq!(cluster.jobs[&good].state, Some(JobState::Completed));
+    assert_eq!(cluster.jobs[&failing_job].state, Some(JobState::Failed));
+    assert_eq!(cluster.jobs[&other_job].state, Some(JobState::Completed));
     assert_eq!(cluster.history[&task].starts, 3);
 }
 
@@ -105,8 +105,8 @@
     cluster.nodes[0].crash(cluster.now_ms, 1_000);
     cluster.nodes[1].crash(cluster.now_ms, 1_000);
     cluster.run_for(2_000);
-    let at_work: usize = cluster.nodes.iter().map(|node| node.running.len()).sum();
-    assert_eq!(at_work, 6);
+    let running_tasks: usize = cluster.nodes.iter().map(|node| node.running.len()).sum();
+    assert_eq!(running_tasks, 6);
     cluster.cancel(id);
     cluster.run_for(500);
     assert!(cluster.nodes.iter().all(|node| node.running.is_empty()));
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -9,8 +9,8 @@
 
 /// Returns the only late end that was reported.
 fn only_late_end(cluster: &Cluster) -> &LateEnd {
-    assert_eq!(cluster.late.len(), 1, "{:?}", cluster.late);
-    &cluster.late[0]
+    assert_eq!(cluster.late_ends.len(), 1, "{:?}", cluster.late_ends);
+    &cluster.late_ends[0]
 }
 
 /// Checks that the breakdown adds up to the total time, except for rounding (up to 1 ms per cause).
@@ -30,7 +30,7 @@
     let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(8, 500, 700)]));
     cluster.run_for(3_000);
-    assert_eq!(cluster.late, vec![]);
+    assert_eq!(cluster.late_ends, vec![]);
 }
 
 /// A job of two steps waits behind a full service, and the first run of its second step fails.
@@ -77,14 +77,14 @@
     let job = cluster.submit("quick", 2, spec(vec![in_rack(1, 300)]));
     cluster.set_work(first_task(job, 0), 2_500, 0);
     cluster.run_for(6_000);
-    let late = cluster
-        .late
+    let late_end = cluster
+        .late_ends
         .iter()
         .find(|end| end.job == job)
         .expect("the job was reported as a late end");
-    assert_breakdown_complete(late);
-    assert!(late.breakdown.get(Cause::Locality) > 100, "{late}");
-    assert_eq!(late.breakdown.get(Cause::Queue), 0, "{late}");
+    assert_breakdown_complete(late_end);
+    assert!(late_end.breakdown.get(Cause::Locality) > 100, "{late_end}");
+    assert_eq!(late_end.breakdown.get(Cause::Queue), 0, "{late_end}");
 }
 
 #[test]
@@ -110,14 +110,14 @@
     cluster.run_for(1_000);
     cluster.fail_over();
     cluster.run_for(8_000);
-    let late = cluster
-        .late
+    let late_end = cluster
+        .late_ends
         .iter()
         .find(|end| end.job == job)
         .expect("the job was reported as a late end");
     assert!(
-        (800..1_300).contains(&late.breakdown.get(Cause::Predecessor)),
-        "{late}"
+        (800..1_300).contains(&late_end.breakdown.get(Cause::Predecessor)),
+        "{late_end}"
     );
-    assert_breakdown_complete(late);
+    assert_breakdown_complete(late_end);
 }
--- a/crates/scheduler/tests/locality.rs
+++ b/crates/scheduler/tests/locality.rs
@@ -22,45 +22,45 @@
     let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(64, 1_000, 2_000)]));
     cluster.run_for(100);
-    let with_affinity = Step {
+    let affinity_step = Step {
         affinity: "r1-1".to_owned(),
         ..step(64, 1_000, 1_000)
     };
-    let with_data = cluster.submit("quick", 2, spec(vec![with_affinity]));
-    let plain = cluster.submit("quick", 3, spec(vec![step(64, 1_000, 1_000)]));
-    let mut plain_ran = 0;
+    let affinity_job = cluster.submit("quick", 2, spec(vec![affinity_step]));
+    let plain_job = cluster.submit("quick", 3, spec(vec![step(64, 1_000, 1_000)]));
+    let mut plain_runs = 0;
     for _ in 0..40 {
         cluster.run_for(100);
-        let plain_waits = cluster
+        let is_plain_waiting = cluster
             .history
             .keys()
-            .filter(|task| task.job == plain)
+            .filter(|task| task.job == plain_job)
             .count()
             < 64;
-        if plain_waits {
+        if is_plain_waiting {
             assert_eq!(
-                runs_on_other_rack(&cluster, with_data),
+                runs_on_other_rack(&cluster, affinity_job),
                 0,
                 "at {} ms",
                 cluster.now_ms
             );
         }
-        plain_ran = plain_ran.max(runs_on_other_rack(&cluster, plain));
+        plain_runs = plain_runs.max(runs_on_other_rack(&cluster, plain_job));
     }
-    assert!(plain_ran > 0);
+    assert!(plain_runs > 0);
 }
 
 /// Capacity that no other task of the same priority waits for is used by remote tasks after a while.
 #[test]
 fn unused_capacity_is_used_by_remote_tasks() {
     let mut cluster = Cluster::started(2);
-    let with_affinity = Step {
+    let affinity_step = Step {
         affinity: "r1-1".to_owned(),
         ..step(64, 1_000, 8_000)
     };
-    let with_data = cluster.submit("quick", 1, spec(vec![with_affinity]));
+    let affinity_job = cluster.submit("quick", 1, spec(vec![affinity_step]));
     cluster.run_for(500);
-    assert_eq!(runs_on_other_rack(&cluster, with_data), 0);
+    assert_eq!(runs_on_other_rack(&cluster, affinity_job), 0);
     cluster.run_for(1_500);
-    assert_eq!(runs_on_other_rack(&cluster, with_data), 32);
+    assert_eq!(runs_on_other_rack(&cluster, affinity_job), 32);
 }
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -34,8 +34,8 @@
         cluster.submit("vision", 100 + number, spec(vec![step(6, 15_000, 3_000)]));
     }
     cluster.run_for(500);
-    let (now_ms, back_ms) = (cluster.now_ms, 500);
-    cluster.nodes[node].crash(now_ms, back_ms);
+    let (now_ms, downtime_ms) = (cluster.now_ms, 500);
+    cluster.nodes[node].crash(now_ms, downtime_ms);
     cluster.run_for(9_000);
     assert!(
         run_count(&cluster, long_running) > 0,
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -21,7 +21,7 @@
 }
 
 /// Fills the queue with tasks that run for `task_ms`, and returns the time after which a rejected client should retry.
-fn retry_after_behind(task_ms: u64) -> u64 {
+fn retry_after_with_backlog(task_ms: u64) -> u64 {
     let mut cluster = Cluster::started(1);
     for number in 0..11 {
         cluster.submit("bulk", 1 + number, spec(vec![step(2_000, 500, task_ms)]));
@@ -34,21 +34,24 @@
 /// times the run time of one task.
 #[test]
 fn retry_after_follows_the_backlog() {
-    let short = retry_after_behind(100);
-    assert!((1_400..=1_600).contains(&short), "{short}");
-    let long = retry_after_behind(400);
-    assert!((5_700..=6_300).contains(&long), "{long}");
-    assert_eq!(retry_after_behind(60_000), 15_000);
+    let short_delay_ms = retry_after_with_backlog(100);
+    assert!(
+        (1_400..=1_600).contains(&short_delay_ms),
+        "{short_delay_ms}"
+    );
+    let long_delay_ms = retry_after_with_backlog(400);
+    assert!((5_700..=6_300).contains(&long_delay_ms), "{long_delay_ms}");
+    assert_eq!(retry_after_with_backlog(60_000), 15_000);
 }
 
 #[test]
 fn a_rejected_job_never_runs_and_may_be_submitted_later() {
     let mut cluster = Cluster::started(2);
-    let first = cluster.submit("bulk", 1, spec(vec![step(20_000, 10, 100)]));
+    let large_job = cluster.submit("bulk", 1, spec(vec![step(20_000, 10, 100)]));
     cluster.run_for(50);
     let id = cluster.submit("quick", 2, spec(vec![step(1, 10, 100)]));
     assert!(cluster.jobs[&id].rejected);
-    cluster.cancel(first);
+    cluster.cancel(large_job);
     cluster.run_for(3_000);
     assert!(cluster.history.keys().all(|task| task.job != id));
     cluster.jobs.remove(&id);
@@ -63,16 +66,16 @@
 fn repetitions_are_opened_as_others_end() {
     let mut cluster = Cluster::started(3);
     let start_at_ms = cluster.wall_ms();
-    let often = JobSpec {
+    let repeated_job = JobSpec {
         repeat_count: 30,
         start_at_ms,
         interval_ms: 0,
         ..spec(vec![step(1_000, 30, 20)])
     };
-    let id = cluster.submit("bulk", 1, often);
+    let id = cluster.submit("bulk", 1, repeated_job);
     cluster.run_for(100);
-    let row = cluster.rows[format!("progress/{id}").as_bytes()].len();
-    assert!(row < 200_000, "the row has {row} bytes");
+    let row_bytes = cluster.rows[format!("progress/{id}").as_bytes()].len();
+    assert!(row_bytes < 200_000, "the row has {row_bytes} bytes");
     cluster.run_for(6_000);
     assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
--- a/crates/scheduler/tests/priorities.rs
+++ b/crates/scheduler/tests/priorities.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_higher_priority_preempts() {
     let mut cluster = Cluster::started(2);
-    let bulk = cluster.submit(
+    let bulk_job = cluster.submit(
         "bulk",
         1,
         spec(vec![Step {
@@ -51,11 +51,11 @@
             .iter()
             .all(|node| node.used().cpu == 16_000)
     );
-    let quick = cluster.submit("quick", 2, spec(vec![step(6, 240, 700)]));
+    let quick_job = cluster.submit("quick", 2, spec(vec![step(6, 240, 700)]));
     cluster.run_for(4_000);
-    assert_eq!(cluster.state_of(quick), Some(JobState::Completed));
+    assert_eq!(cluster.state_of(quick_job), Some(JobState::Completed));
     cluster.run_for(45_000);
-    assert_eq!(cluster.state_of(bulk), Some(JobState::Completed));
+    assert_eq!(cluster.state_of(bulk_job), Some(JobState::Completed));
 }
 
 /// A job does not preempt tasks of its own priority, even if it has to wait.
@@ -82,12 +82,12 @@
     let ids: Vec<_> = cluster.jobs.keys().copied().collect();
     ids.iter().for_each(|id| cluster.get(*id));
     cluster.run_for(50);
-    let failed = cluster
+    let failed_jobs = cluster
         .jobs
         .values()
         .filter(|job| job.state == Some(JobState::Failed))
         .count();
-    assert_eq!(failed, 0);
+    assert_eq!(failed_jobs, 0);
 }
 
 /// A run without progress is stopped, and its task is started on another worker.
@@ -116,7 +116,7 @@
             .iter()
             .all(|node| node.used().cpu == 16_000)
     );
-    let urgent: Vec<_> = (0..40)
+    let urgent_jobs: Vec<_> = (0..40)
         .map(|number| {
             let id = cluster.submit("quick", 100 + number, spec(vec![step(6, 240, 700)]));
             cluster.run_for(100);
@@ -124,13 +124,16 @@
         })
         .collect();
     cluster.run_for(2_000);
-    urgent.iter().for_each(|id| cluster.get(*id));
+    urgent_jobs.iter().for_each(|id| cluster.get(*id));
     cluster.run_for(50);
-    let done = urgent
+    let completed_jobs = urgent_jobs
         .iter()
         .filter(|id| cluster.jobs[id].state == Some(JobState::Completed))
         .count();
-    assert!(done >= 38, "only {done} of 40 urgent jobs are completed");
+    assert!(
+        completed_jobs >= 38,
+        "only {completed_jobs} of 40 urgent jobs are completed"
+    );
 }
 
 /// Guards against a recovered worker that is never used again: a worker with a long-running task is never idle, but it
@@ -151,16 +154,16 @@
         cluster.run_for(100);
     }
     cluster.nodes[0].fails = false;
-    let long_running = cluster.nodes[0].running.len();
+    let long_running_count = cluster.nodes[0].running.len();
     assert_eq!(
-        long_running, 1,
+        long_running_count, 1,
         "only the long-running task may run on the failing worker"
     );
-    let mut used = false;
+    let mut was_used = false;
     for number in 0..100 {
         cluster.submit("quick", 100 + number, spec(vec![step(6, 240, 300)]));
         cluster.run_for(100);
-        used |= cluster.nodes[0].running.len() > long_running + 1;
+        was_used |= cluster.nodes[0].running.len() > long_running_count + 1;
     }
-    assert!(used);
+    assert!(was_used);
 }
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -8,7 +8,7 @@
 
 /// A head fails at any moment around the start of a job. If the job was accepted, the new head completes it.
 #[test]
-fn a_successor_resends_lost_orders() {
+fn a_new_head_resends_lost_orders() {
     for delay_ms in 0..60 {
         let mut cluster = Cluster::new(delay_ms);
         cluster.fault_free = false;
@@ -66,7 +66,7 @@
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// The state of an ended job is available for `status_s`, also from a successor; then its rows are deleted.
+/// The state of an ended job is available for `status_s`, also from a new head; then its rows are deleted.
 #[test]
 fn ended_jobs_are_kept_for_status_s_and_then_deleted() {
     let mut cluster = Cluster::started(5);
@@ -99,7 +99,7 @@
 /// The head, all node agents and all workers lose power together. From the rows a new head knows which machine an
 /// instance was on, and concludes that it has ended once another instance registers there.
 #[test]
-fn instances_lost_with_the_head_are_ended_by_their_successors() {
+fn instances_lost_with_the_head_end_when_others_register_there() {
     let mut cluster = Cluster::new(8);
     cluster.fault_free = false;
     cluster.run_for(200);
@@ -154,26 +154,26 @@
         .iter()
         .map(|node| cluster.nodes[*node].instance())
         .collect();
-    let mut expected = vec![0, 1, instances.len() as u8];
-    let numbered = |task: u32| instance_of_task(&cluster, &nodes, task);
-    let mut named: Vec<String> = Vec::new();
-    for instance in [numbered(0), numbered(1)] {
-        if !named.contains(&instance) {
-            expected.push(instance.len() as u8);
-            expected.extend(instance.bytes());
-            named.push(instance);
+    let mut expected_row = vec![0, 1, instances.len() as u8];
+    let instance_of = |task: u32| instance_of_task(&cluster, &nodes, task);
+    let mut row_instances: Vec<String> = Vec::new();
+    for instance in [instance_of(0), instance_of(1)] {
+        if !row_instances.contains(&instance) {
+            expected_row.push(instance.len() as u8);
+            expected_row.extend(instance.bytes());
+            row_instances.push(instance);
         }
     }
-    expected.extend([1, 0, 1, 2, 0, 0, 2]);
+    expected_row.extend([1, 0, 1, 2, 0, 0, 2]);
     for task in 0..2 {
-        let instance = named
+        let instance = row_instances
             .iter()
-            .position(|known| *known == numbered(task))
+            .position(|row_instance| *row_instance == instance_of(task))
             .expect("the row names the instance") as u8;
-        expected.extend([1, 0, 0, 0, 1, instance, 1]);
+        expected_row.extend([1, 0, 0, 0, 1, instance, 1]);
     }
     assert_eq!(
-        row, expected,
+        row, expected_row,
         "the format of rows has changed: rows in the former format must still be readable"
     );
     cluster.fail_over();
@@ -191,11 +191,11 @@
     cluster.run_for(1_000);
     cluster.submit("quick", 1, job());
     cluster.run_for(1_000);
-    let accepted = cluster
+    let accepted_count = cluster
         .replies
         .iter()
         .filter(|reply| reply.outcome == ClientOutcome::Accepted)
         .count();
-    assert_eq!(accepted, 3);
+    assert_eq!(accepted_count, 3);
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -12,7 +12,7 @@
     }])
 }
 
-fn completed(cluster: &mut Cluster, id: indigofold_protocol::task::JobId) -> bool {
+fn is_completed(cluster: &mut Cluster, id: indigofold_protocol::task::JobId) -> bool {
     cluster.get(id);
     cluster.run_for(50);
     cluster.jobs[&id].state == Some(JobState::Completed)
@@ -23,16 +23,16 @@
     let mut cluster = Cluster::started(1);
     let id = cluster.submit("quick", 1, speculative(1, 700));
     cluster.run_for(200);
-    let first = cluster.busy_nodes()[0];
-    cluster.disconnect(first);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.disconnect(first_node);
     cluster.run_for(3_500);
-    assert!(completed(&mut cluster, id));
+    assert!(is_completed(&mut cluster, id));
     let task = *cluster.history.keys().next().expect("the task has run");
     assert_eq!(cluster.history[&task].starts, 2);
-    cluster.connect(first);
+    cluster.connect(first_node);
     cluster.run_for(2_000);
     assert!(cluster.busy_nodes().is_empty());
-    assert!(completed(&mut cluster, id));
+    assert!(is_completed(&mut cluster, id));
 }
 
 #[test]
@@ -41,7 +41,7 @@
     cluster.nodes[1].hangs = true;
     let id = cluster.submit("quick", 1, speculative(12, 700));
     cluster.run_for(3_300);
-    assert!(completed(&mut cluster, id));
+    assert!(is_completed(&mut cluster, id));
     cluster.run_for(1_000);
     assert!(
         cluster.busy_nodes().is_empty(),
@@ -54,8 +54,8 @@
     let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(1, 240, 700)]));
     cluster.run_for(200);
-    let first = cluster.busy_nodes()[0];
-    cluster.disconnect(first);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.disconnect(first_node);
     cluster.run_for(5_000);
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
@@ -66,10 +66,10 @@
     let mut cluster = Cluster::started(1);
     cluster.submit("bulk", 1, speculative(1, 6_000));
     cluster.run_for(200);
-    let first = cluster.busy_nodes()[0];
-    cluster.disconnect(first);
+    let first_node = cluster.busy_nodes()[0];
+    cluster.disconnect(first_node);
     cluster.run_for(2_000);
-    cluster.connect(first);
+    cluster.connect(first_node);
     cluster.run_for(5_000);
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
@@ -77,21 +77,21 @@
 /// Both runs are stored in the job's row. Whenever the head fails, the new head knows both and stops the one that is
 /// not needed any more.
 #[test]
-fn a_successor_knows_both_runs() {
+fn a_new_head_knows_both_runs() {
     for delay_ms in (0..3_000).step_by(100) {
         let mut cluster = Cluster::new(3);
         cluster.fault_free = false;
         cluster.run_for(200);
         let id = cluster.submit("quick", 1, speculative(2, 900));
         cluster.run_for(200);
-        let first = cluster.busy_nodes()[0];
-        cluster.disconnect(first);
+        let first_node = cluster.busy_nodes()[0];
+        cluster.disconnect(first_node);
         cluster.run_for(delay_ms);
         cluster.fail_over();
         cluster.run_for(300);
-        cluster.connect(first);
+        cluster.connect(first_node);
         cluster.run_for(5_000);
-        assert!(completed(&mut cluster, id), "after {delay_ms} ms");
+        assert!(is_completed(&mut cluster, id), "after {delay_ms} ms");
         cluster.run_for(2_000);
         assert!(cluster.busy_nodes().is_empty(), "after {delay_ms} ms");
     }
--- a/crates/scheduler/tests/stored_rows.rs
+++ b/crates/scheduler/tests/stored_rows.rs
@@ -55,11 +55,11 @@
 /// Nodes with which placement does not depend on random draws: one worker per service, and a second worker for
 /// speculative runs that boots later.
 fn nodes_without_choice() -> Vec<Node> {
-    let plain = |name: &str, labels: &[&str]| Node::new(name, "s", labels, resources(16_000, 0));
-    let mut later = plain("n2", &["b", "r1-2"]);
-    (later.up, later.boot_ms) = (false, u64::MAX);
+    let new_node = |name: &str, labels: &[&str]| Node::new(name, "s", labels, resources(16_000, 0));
+    let mut second_node = new_node("n2", &["b", "r1-2"]);
+    (second_node.up, second_node.boot_ms) = (false, u64::MAX);
     let vision = Node::new("n5", "v", &["a", "r1-1"], resources(32_000, 8));
-    vec![plain("n1", &["a", "r1-1"]), later, vision]
+    vec![new_node("n1", &["a", "r1-1"]), second_node, vision]
 }
 
 /// Covers the rows of definitions, of progress with speculative runs, of a gang's checkpoint, of an ended job and of
@@ -87,7 +87,9 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("a hexadecimal number"))
+        .map(|offset| {
+            u8::from_str_radix(&hex[offset..offset + 2], 16).expect("a hexadecimal number")
+        })
         .collect()
 }
 
@@ -101,10 +103,10 @@
         .filter(|(key, _)| key.starts_with("life/"))
         .map(|(key, hex)| (key.as_bytes().to_vec(), bytes(hex)))
         .collect();
-    let stored = cluster.rows.clone();
+    let stored_rows = cluster.rows.clone();
     cluster.fail_over();
-    let written = cluster.writes_made;
+    let writes_before = cluster.writes_made;
     cluster.run_for(2_000);
-    assert_eq!(cluster.writes_made, written);
-    assert_eq!(cluster.rows, stored);
+    assert_eq!(cluster.writes_made, writes_before);
+    assert_eq!(cluster.rows, stored_rows);
 }
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -13,7 +13,7 @@
 #[case::itself(spec(vec![Step { depends_on: vec![0], ..step(1, 100, 100) }]), "depends_on")]
 #[case::later(spec(vec![step(1, 1, 1), Step { depends_on: vec![2], ..step(1, 1, 1) }, step(1, 1, 1)]), "depends_on")]
 #[case::long(JobSpec { spec: "x".repeat(4_001), ..spec(vec![step(1, 1, 1)]) }, "spec")]
-fn an_invalid_job_is_rejected(#[case] job: JobSpec, #[case] named: &str) {
+fn an_invalid_job_is_rejected(#[case] job: JobSpec, #[case] named_field: &str) {
     let mut cluster = Cluster::new(1);
     cluster.submit("quick", 1, job);
     let Some(ClientOutcome::Invalid { reason }) =
@@ -21,7 +21,7 @@
     else {
         panic!("{:?}", cluster.replies);
     };
-    assert!(reason.contains(named), "{reason}");
+    assert!(reason.contains(named_field), "{reason}");
     cluster.run_for(1_000);
     let has_only_instance_rows = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
     assert!(
--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -29,14 +29,15 @@
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let (mut builder, mut time_is_end) = (Builder::default(), false);
     let mut rest = format;
-    while let Some(at) = rest.find(['%', '\\']) {
-        builder.literal(&rest[..at]);
-        let (introducer, after) = (rest.as_bytes()[at], &rest[at + 1..]);
+    while let Some(special_index) = rest.find(['%', '\\']) {
+        builder.literal(&rest[..special_index]);
+        let (introducer, following_text) =
+            (rest.as_bytes()[special_index], &rest[special_index + 1..]);
         if introducer == b'\\' {
-            rest = compile_escape(after, &mut builder)?;
+            rest = compile_escape(following_text, &mut builder)?;
             continue;
         }
-        let parsed = parse_directive(after)?;
+        let parsed = parse_directive(following_text)?;
         (time_is_end, rest) = (time_is_end | parsed.time_is_end, parsed.rest);
         match parsed.directive {
             Directive::Field(field) => builder.field(field),
@@ -53,24 +54,36 @@
 }
 
 /// Adds the character escaped by a backslash and returns the text after it.
-fn compile_escape<'a>(after: &'a str, builder: &mut Builder) -> Result<&'a str, FormatError> {
-    let escaped = after.chars().next().ok_or(FormatError::TrailingBackslash)?;
+fn compile_escape<'a>(
+    following_text: &'a str,
+    builder: &mut Builder,
+) -> Result<&'a str, FormatError> {
+    let escaped = following_text
+        .chars()
+        .next()
+        .ok_or(FormatError::TrailingBackslash)?;
     builder.literal(&match escaped {
         'n' => "\n".to_string(),
         't' => "\t".to_string(),
         other => other.to_string(),
     });
-    Ok(&after[escaped.len_utf8()..])
+    Ok(&following_text[escaped.len_utf8()..])
 }
 
 /// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text after a `%`.
-fn parse_directive(after: &str) -> Result<Parsed<'_>, FormatError> {
-    let body = after.trim_start_matches(|c: char| c == '!' || c == ',' || c.is_ascii_digit());
+fn parse_directive(following_text: &str) -> Result<Parsed<'_>, FormatError> {
+    let body =
+        following_text.trim_start_matches(|c: char| c == '!' || c == ',' || c.is_ascii_digit());
     let body = body.trim_start_matches(['<', '>']);
     let (argument, body) = match body.strip_prefix('{') {
-        Some(inner) => {
-            let close = inner.find('}').ok_or(FormatError::Unclosed("a '{'"))?;
-            (Some(&inner[..close]), &inner[close + 1..])
+        Some(bracketed_text) => {
+            let close_index = bracketed_text
+                .find('}')
+                .ok_or(FormatError::Unclosed("a '{'"))?;
+            (
+                Some(&bracketed_text[..close_index]),
+                &bracketed_text[close_index + 1..],
+            )
         }
         None => (None, body),
     };
--- a/crates/traffic/src/access_log/envoy.rs
+++ b/crates/traffic/src/access_log/envoy.rs
@@ -11,30 +11,35 @@
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let mut builder = Builder::default();
     let mut rest = format.trim_end_matches('\n');
-    while let Some(at) = rest.find('%') {
-        builder.literal(&rest[..at]);
-        let after = &rest[at + 1..];
-        if let Some(tail) = after.strip_prefix('%') {
+    while let Some(percent_index) = rest.find('%') {
+        builder.literal(&rest[..percent_index]);
+        let following_text = &rest[percent_index + 1..];
+        if let Some(tail) = following_text.strip_prefix('%') {
             builder.literal("%");
             rest = tail;
             continue;
         }
         // The syntax is %NAME(ARGUMENT):LENGTH%. The argument of START_TIME may contain '%', so it is parsed first.
-        let name_end = after
+        let name_end = following_text
             .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
-            .unwrap_or(after.len());
-        let (name, tail) = after.split_at(name_end);
+            .unwrap_or(following_text.len());
+        let (name, tail) = following_text.split_at(name_end);
         let (argument, tail) = match tail.strip_prefix('(') {
-            Some(inner) => {
-                let close = inner.find(')').ok_or(FormatError::Unclosed("a '('"))?;
-                (Some(&inner[..close]), &inner[close + 1..])
+            Some(bracketed_text) => {
+                let close_index = bracketed_text
+                    .find(')')
+                    .ok_or(FormatError::Unclosed("a '('"))?;
+                (
+                    Some(&bracketed_text[..close_index]),
+                    &bracketed_text[close_index + 1..],
+                )
             }
             None => (None, tail),
         };
-        let close = tail
+        let close_index = tail
             .find('%')
             .ok_or_else(|| FormatError::UnclosedOperator(name.into()))?;
-        rest = &tail[close + 1..];
+        rest = &tail[close_index + 1..];
         builder.field(field(name, argument)?);
     }
     builder.literal(rest);
@@ -56,8 +61,8 @@
             Field::Time(TimeFormat::Pattern(pattern))
         }
         ("REQ", Some(header)) => {
-            let first = header.split('?').next().unwrap_or("");
-            match (first, header.split('?').nth(1)) {
+            let first_header = header.split('?').next().unwrap_or("");
+            match (first_header, header.split('?').nth(1)) {
                 (":METHOD" | ":method", _) => Field::Method,
                 (":PATH" | ":path", _) | (_, Some(":PATH" | ":path")) => Field::Target,
                 (name, _) => Field::Header(name.to_ascii_lowercase()),
--- a/crates/traffic/src/access_log/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -11,20 +11,24 @@
 pub fn compile(format: &str) -> Result<Template, FormatError> {
     let mut builder = Builder::default();
     let mut rest = format;
-    while let Some(at) = rest.find('$') {
-        builder.literal(&rest[..at]);
-        let after = &rest[at + 1..];
+    while let Some(dollar_index) = rest.find('$') {
+        builder.literal(&rest[..dollar_index]);
+        let following_text = &rest[dollar_index + 1..];
         let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '_';
-        let variable = match after.strip_prefix('{') {
-            Some(inner) => {
-                let close = inner.find('}').ok_or(FormatError::Unclosed("a '${'"))?;
-                rest = &inner[close + 1..];
-                &inner[..close]
+        let variable = match following_text.strip_prefix('{') {
+            Some(braced_text) => {
+                let close_index = braced_text
+                    .find('}')
+                    .ok_or(FormatError::Unclosed("a '${'"))?;
+                rest = &braced_text[close_index + 1..];
+                &braced_text[..close_index]
             }
             None => {
-                let end = after.find(|c| !is_name_char(c)).unwrap_or(after.len());
-                rest = &after[end..];
-                &after[..end]
+                let name_end = following_text
+                    .find(|c| !is_name_char(c))
+                    .unwrap_or(following_text.len());
+                rest = &following_text[name_end..];
+                &following_text[..name_end]
             }
         };
         if variable.is_empty() || !variable.chars().all(is_name_char) {
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -127,29 +127,34 @@
     }
 }
 
-/// Returns the length of a field's value, which ends before the literal `next`. In a quoted value, escaped quotes do not
-/// end it.
-fn value_end(rest: &[u8], next: &[u8], quoted: bool, escapes: Escapes) -> Option<usize> {
-    let first = *next.first()?;
-    let mut at = 0;
+/// Returns the length of a field's value, which ends before the text `next_literal`. In a quoted value, escaped quotes do
+/// not end it.
+fn value_end(
+    remaining: &[u8],
+    next_literal: &[u8],
+    is_quoted: bool,
+    escapes: Escapes,
+) -> Option<usize> {
+    let first_byte = *next_literal.first()?;
+    let mut search_start = 0;
     loop {
-        let found = match next.len() {
+        let literal_start = match next_literal.len() {
             // Most literals are short; searching for the first byte alone is faster then.
-            1..=8 => memchr(first, &rest[at..])?,
-            _ => memmem::find(&rest[at..], next)?,
-        } + at;
-        let slashes = match quoted && escapes == Escapes::Backslash {
-            true => rest[..found]
+            1..=8 => memchr(first_byte, &remaining[search_start..])?,
+            _ => memmem::find(&remaining[search_start..], next_literal)?,
+        } + search_start;
+        let backslash_count = match is_quoted && escapes == Escapes::Backslash {
+            true => remaining[..literal_start]
                 .iter()
                 .rev()
                 .take_while(|b| **b == b'\\')
                 .count(),
             false => 0,
         };
-        if slashes % 2 == 0 && rest[found..].starts_with(next) {
-            return Some(found);
+        if backslash_count % 2 == 0 && remaining[literal_start..].starts_with(next_literal) {
+            return Some(literal_start);
         }
-        at = found + 1;
+        search_start = literal_start + 1;
     }
 }
 
@@ -253,40 +258,48 @@
         record: &'a str,
         timestamps: &mut Reader,
     ) -> Result<RawRecord<'a>, Reason> {
-        let (mut builder, mut at, bytes) = (RecordBuilder::default(), 0, record.as_bytes());
-        let mut preceding: &[u8] = &[];
+        let (mut builder, mut position, bytes) = (RecordBuilder::default(), 0, record.as_bytes());
+        let mut preceding_literal: &[u8] = &[];
         for (n, segment) in self.segments.iter().enumerate() {
             match segment {
                 Segment::Literal(text) => {
-                    if !bytes[at..].starts_with(text) {
+                    if !bytes[position..].starts_with(text) {
                         return Err(Reason::Malformed);
                     }
-                    at += text.len();
-                    preceding = text;
+                    position += text.len();
+                    preceding_literal = text;
                 }
                 Segment::Field(field) => {
-                    let end = self.field_end(n, &bytes[at..], preceding)?;
-                    let value = record.get(at..at + end).ok_or(Reason::Malformed)?;
-                    at += end;
+                    let value_len = self.field_end(n, &bytes[position..], preceding_literal)?;
+                    let value = record
+                        .get(position..position + value_len)
+                        .ok_or(Reason::Malformed)?;
+                    position += value_len;
                     self.read_field(&mut builder, field, value, timestamps)?;
                 }
             }
         }
-        if at != bytes.len() {
+        if position != bytes.len() {
             return Err(Reason::Malformed);
         }
         Ok(builder.finish())
     }
 
-    /// Returns the length of the value of segment `n`. `rest` is the record from the start of the value on, `preceding` the
-    /// literal before it.
-    fn field_end(&self, n: usize, rest: &[u8], preceding: &[u8]) -> Result<usize, Reason> {
+    /// Returns the length of the value of segment `n`. `remaining` is the record from the start of the value on,
+    /// `preceding_literal` the literal before the value.
+    fn field_end(
+        &self,
+        n: usize,
+        remaining: &[u8],
+        preceding_literal: &[u8],
+    ) -> Result<usize, Reason> {
         match self.segments.get(n + 1) {
-            Some(Segment::Literal(next)) => {
-                let quoted = preceding.last() == Some(&b'"') && next.first() == Some(&b'"');
-                value_end(rest, next, quoted, self.escapes).ok_or(Reason::Malformed)
+            Some(Segment::Literal(next_literal)) => {
+                let is_quoted =
+                    preceding_literal.last() == Some(&b'"') && next_literal.first() == Some(&b'"');
+                value_end(remaining, next_literal, is_quoted, self.escapes).ok_or(Reason::Malformed)
             }
-            _ => Ok(rest.len()),
+            _ => Ok(remaining.len()),
         }
     }
 
@@ -297,9 +310,9 @@
         value: &'a str,
         timestamps: &mut Reader,
     ) -> Result<(), Reason> {
-        let absent = value == "-" || value.is_empty();
+        let is_absent = value == "-" || value.is_empty();
         match field {
-            Field::Time(_) if absent => return Err(Reason::NoTime),
+            Field::Time(_) if is_absent => return Err(Reason::NoTime),
             Field::Time(format) => {
                 let time = timestamps
                     .read(format, value)
@@ -310,11 +323,11 @@
                 });
             }
             Field::Fraction(digits) => builder.set_fraction(*digits, value)?,
-            Field::Request if absent => return Err(Reason::BadRequest),
+            Field::Request if is_absent => return Err(Reason::BadRequest),
             Field::Request => builder.set_request(self.unescape(value))?,
             Field::Status => builder.set_status(value)?,
             Field::Skip => {}
-            _ if absent => {}
+            _ if is_absent => {}
             Field::Method => builder.raw.method = Some(self.unescape(value)),
             Field::Target => builder.raw.target = Some(self.unescape(value)),
             Field::Query => builder.raw.query = Some(self.unescape(value)),
@@ -337,33 +350,34 @@
         if self.escapes == Escapes::None || memchr(b'\\', value.as_bytes()).is_none() {
             return Cow::Borrowed(value);
         }
-        let (mut out, mut rest) = (Vec::with_capacity(value.len()), value.bytes());
-        while let Some(byte) = rest.next() {
+        let (mut unescaped_bytes, mut remaining_bytes) =
+            (Vec::with_capacity(value.len()), value.bytes());
+        while let Some(byte) = remaining_bytes.next() {
             if byte != b'\\' {
-                out.push(byte);
+                unescaped_bytes.push(byte);
                 continue;
             }
-            match rest.next() {
+            match remaining_bytes.next() {
                 Some(b'x') => {
-                    let hex: Vec<u8> = rest.clone().take(2).collect();
+                    let hex: Vec<u8> = remaining_bytes.clone().take(2).collect();
                     let code = std::str::from_utf8(&hex).ok().filter(|h| h.len() == 2);
                     match code.and_then(|h| u8::from_str_radix(h, 16).ok()) {
                         Some(code) => {
-                            out.push(code);
-                            rest.nth(1);
+                            unescaped_bytes.push(code);
+                            remaining_bytes.nth(1);
                         }
-                        None => out.extend(b"\\x"),
+                        None => unescaped_bytes.extend(b"\\x"),
                     }
                 }
-                Some(b'n') => out.push(b'\n'),
-                Some(b't') => out.push(b'\t'),
-                Some(b'r') => out.push(b'\r'),
-                Some(other) => out.push(other),
-                None => out.push(b'\\'),
+                Some(b'n') => unescaped_bytes.push(b'\n'),
+                Some(b't') => unescaped_bytes.push(b'\t'),
+                Some(b'r') => unescaped_bytes.push(b'\r'),
+                Some(other) => unescaped_bytes.push(other),
+                None => unescaped_bytes.push(b'\\'),
             }
         }
         Cow::Owned(
-            String::from_utf8(out)
+            String::from_utf8(unescaped_bytes)
                 .unwrap_or_else(|e| e.into_bytes().iter().map(|b| *b as char).collect()),
         )
     }
@@ -371,10 +385,10 @@
 
 /// Splits a request line, `METHOD TARGET HTTP/1.1`, into method and target. The version may be missing, as in HTTP/0.9.
 fn parse_request_line(text: &str) -> Option<(&str, &str)> {
-    let (method, rest) = text.split_once(' ')?;
-    let target = rest
+    let (method, target_and_version) = text.split_once(' ')?;
+    let target = target_and_version
         .rsplit_once(" HTTP/")
-        .map_or(rest, |(target, _)| target)
+        .map_or(target_and_version, |(target, _)| target)
         .trim();
     let is_token = !method.is_empty()
         && method.len() <= 32
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -48,13 +48,13 @@
     json: Option<&crate::access_log::json::Fields>,
 ) -> Result<Kind, DetectError> {
     let text = String::from_utf8_lossy(head);
-    let trimmed = text.trim_start();
-    let first = trimmed.lines().next().unwrap_or("");
-    if first.contains(FORMAT) {
+    let trimmed_text = text.trim_start();
+    let first_line = trimmed_text.lines().next().unwrap_or("");
+    if first_line.contains(FORMAT) {
         return Ok(Kind::Recording);
     }
-    if first.starts_with('{') {
-        let value = serde_json::from_str::<serde_json::Value>(first);
+    if first_line.starts_with('{') {
+        let value = serde_json::from_str::<serde_json::Value>(first_line);
         let is_har = |text: &str| text.contains("\"log\"");
         return match (value, json) {
             (Ok(value), _)
@@ -65,11 +65,13 @@
                 Ok(Kind::Har)
             }
             (Ok(_), Some(fields)) => Ok(Kind::AccessLog(LogFormat::Json(Box::new(fields.clone())))),
-            (Err(_), _) if is_har(&trimmed[..trimmed.floor_char_boundary(4096)]) => Ok(Kind::Har),
+            (Err(_), _) if is_har(&trimmed_text[..trimmed_text.floor_char_boundary(4096)]) => {
+                Ok(Kind::Har)
+            }
             _ => Err(DetectError::JsonWithoutFields),
         };
     }
-    let mut best: Option<(usize, LogFormat)> = None;
+    let mut best_match: Option<(usize, LogFormat)> = None;
     for name in ["combined", "common", "nginx", "envoy"] {
         let format = LogFormat::named(name)?;
         let mut timestamps = Reader::new(TimeZone::UTC);
@@ -78,10 +80,11 @@
             .take(MAX_SAMPLES)
             .filter(|line| format.read(line, &mut timestamps).is_ok())
             .count();
-        if matches > best.as_ref().map_or(0, |b| b.0) {
-            best = Some((matches, format));
+        if matches > best_match.as_ref().map_or(0, |b| b.0) {
+            best_match = Some((matches, format));
         }
     }
-    best.map(|(_, format)| Kind::AccessLog(format))
+    best_match
+        .map(|(_, format)| Kind::AccessLog(format))
         .ok_or(DetectError::Unknown)
 }
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -110,13 +110,13 @@
         let request_id = (self.rules.id_kept && attempt.id != 0).then_some(attempt.id);
         let keys = MatchKeys::new(&attempt.job, request_id);
         match self.find_job(&attempt, &keys) {
-            Some(found) => {
-                if found.learn_wait {
-                    let end = self.open.get(found.number).end;
+            Some(job_match) => {
+                if job_match.learn_wait {
+                    let end = self.open.get(job_match.number).end;
                     self.waits.learn(attempt.job.at - end.earliest);
                 }
                 tally.folded += 1;
-                self.add_retry(&found, &attempt);
+                self.add_retry(&job_match, &attempt);
             }
             None => {
                 tally.taken += 1;
@@ -157,18 +157,18 @@
     }
 
     /// Adds a retry to its job.
-    fn add_retry(&mut self, found: &Match, attempt: &Attempt) {
-        let open = self.open.get(found.number);
+    fn add_retry(&mut self, job_match: &Match, attempt: &Attempt) {
+        let open = self.open.get(job_match.number);
         let end = end_of(&attempt.job, attempt.job.deadline.or(open.job.deadline));
         let succeeded = is_success(attempt.job.status);
         let window = self.retry_window(succeeded, &open.keys);
-        let open = self.open.get_mut(found.number);
+        let open = self.open.get_mut(job_match.number);
         open.job.retries.push(Retry {
             at: attempt.job.at,
             status: attempt.job.status,
             took: attempt.job.took,
-            evidence: found.evidence,
-            confidence: found.confidence,
+            evidence: job_match.evidence,
+            confidence: job_match.confidence,
         });
         (open.end, open.resolution) = (end, attempt.resolution);
         (open.succeeded, open.closes_at) = (succeeded, end.latest + window);
@@ -187,8 +187,8 @@
 
     /// Finds the job that an attempt is a retry of; `None`: it is a first attempt.
     fn find_job(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
-        if let Some(found) = self.find_by_key(attempt, keys) {
-            return Some(found);
+        if let Some(job_match) = self.find_by_key(attempt, keys) {
+            return Some(job_match);
         }
         if attempt.marked {
             return self.find_by_marker(attempt, keys);
@@ -218,12 +218,12 @@
     fn find_by_marker(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         for (kind, may_learn) in [(KeyKind::Subject, true), (KeyKind::Client, false)] {
             let candidates = self.failed_jobs(attempt, keys, kind, MARKED_RETRY_WINDOW);
-            if let Some(found) = self.likeliest(attempt.job.at, &candidates) {
+            if let Some(likeliest_job) = self.likeliest(attempt.job.at, &candidates) {
                 return Some(Match {
-                    number: found.number,
+                    number: likeliest_job.number,
                     evidence: Evidence::Marker,
-                    confidence: found.probability,
-                    learn_wait: found.only_candidate && may_learn,
+                    confidence: likeliest_job.probability,
+                    learn_wait: likeliest_job.only_candidate && may_learn,
                 });
             }
         }
@@ -237,14 +237,14 @@
             return None;
         }
         let candidates = self.failed_jobs(attempt, keys, KeyKind::Subject, window);
-        let found = self.likeliest(attempt.job.at, &candidates)?;
-        let wait = attempt.job.at - self.open.get(found.number).end.earliest;
+        let likeliest_job = self.likeliest(attempt.job.at, &candidates)?;
+        let wait = attempt.job.at - self.open.get(likeliest_job.number).end.earliest;
         let confidence = self.retry_probability(keys.get(KeyKind::Subject)?, wait);
         (confidence >= MIN_GUESS_CONFIDENCE).then_some(Match {
-            number: found.number,
+            number: likeliest_job.number,
             evidence: Evidence::Guess,
-            confidence: confidence * found.probability,
-            learn_wait: found.only_candidate && confidence > LEARNING_CONFIDENCE,
+            confidence: confidence * likeliest_job.probability,
+            learn_wait: likeliest_job.only_candidate && confidence > LEARNING_CONFIDENCE,
         })
     }
 
@@ -262,26 +262,29 @@
         kind: KeyKind,
         window: Micros,
     ) -> SmallVec<[u64; 4]> {
-        let at = attempt.job.at;
-        let fits = |open: &OpenJob| {
+        let attempt_at = attempt.job.at;
+        let may_precede = |open: &OpenJob| {
             let tolerance = open.resolution + attempt.resolution + REORDERING_TOLERANCE;
-            // Two different keys: equal ones are matched by `find_by_key` before.
-            let other_key = open.job.key.is_some() && attempt.job.key.is_some();
+            // The keys differ if both exist: `find_by_key` has already matched equal ones.
+            let has_other_key = open.job.key.is_some() && attempt.job.key.is_some();
             !open.succeeded
-                && !other_key
+                && !has_other_key
                 && self.may_retry(open)
-                && open.end.earliest <= at + tolerance
-                && at <= open.end.latest + window + tolerance
+                && open.end.earliest <= attempt_at + tolerance
+                && attempt_at <= open.end.latest + window + tolerance
         };
         self.open
             .matching(keys, kind)
-            .filter(|number| fits(self.open.get(*number)))
+            .filter(|number| may_precede(self.open.get(*number)))
             .collect()
     }
 
-    /// Returns the candidate for which the wait until `at` is the most likely one.
-    fn likeliest(&self, at: Micros, candidates: &[u64]) -> Option<LikeliestJob> {
-        let density = |number: u64| self.waits.density(at - self.open.get(number).end.earliest);
+    /// Returns the candidate for which the wait until `retry_at` is the most likely one.
+    fn likeliest(&self, retry_at: Micros, candidates: &[u64]) -> Option<LikeliestJob> {
+        let density = |number: u64| {
+            self.waits
+                .density(retry_at - self.open.get(number).end.earliest)
+        };
         let total: f64 = candidates.iter().map(|number| density(*number)).sum();
         let number = candidates
             .iter()
@@ -299,9 +302,10 @@
     fn retry_probability(&self, subject: u64, wait: Micros) -> f32 {
         let counting_time = (self.now - self.counting_since.unwrap_or(self.now)).max(1) as f64;
         let jobs = self.jobs_of_subject.get(&subject).copied().unwrap_or(1);
-        let others = jobs.saturating_sub(1) as f64 + 0.1;
-        let by_chance = 1.0 - (-others / counting_time * wait.max(MIN_GUESS_WAIT) as f64).exp();
-        (RETRY_PROBABILITY / (RETRY_PROBABILITY + by_chance)) as f32
+        let other_jobs = jobs.saturating_sub(1) as f64 + 0.1;
+        let chance_probability =
+            1.0 - (-other_jobs / counting_time * wait.max(MIN_GUESS_WAIT) as f64).exp();
+        (RETRY_PROBABILITY / (RETRY_PROBABILITY + chance_probability)) as f32
     }
 
     /// Passes the jobs that can get no more retries to `out`, oldest first; every open job if `all` is set.
@@ -321,9 +325,9 @@
 /// Returns when an attempt ended: exactly if its duration is known, or else between its start and the client's timeout.
 fn end_of(attempt: &Job, deadline: Option<Micros>) -> EndTime {
     match attempt.took {
-        Some(took) => EndTime {
-            earliest: attempt.at + took,
-            latest: attempt.at + took,
+        Some(duration) => EndTime {
+            earliest: attempt.at + duration,
+            latest: attempt.at + duration,
         },
         None => EndTime {
             earliest: attempt.at,
--- a/crates/traffic/src/fold/open_jobs.rs
+++ b/crates/traffic/src/fold/open_jobs.rs
@@ -82,7 +82,7 @@
 pub(super) struct OpenJobs {
     jobs: VecDeque<OpenJob>,
     /// Number of the first entry of `jobs`.
-    first: u64,
+    first_number: u64,
     /// Job numbers by key hash, for each kind of key; the newest job last.
     by_key: [FxHashMap<u64, SmallVec<[u64; 2]>>; 4],
 }
@@ -98,12 +98,12 @@
 
     /// Returns the open job of a number from [`Self::matching`].
     pub(super) fn get(&self, number: u64) -> &OpenJob {
-        &self.jobs[(number - self.first) as usize]
+        &self.jobs[(number - self.first_number) as usize]
     }
 
     /// Mutable variant of [`Self::get`].
     pub(super) fn get_mut(&mut self, number: u64) -> &mut OpenJob {
-        &mut self.jobs[(number - self.first) as usize]
+        &mut self.jobs[(number - self.first_number) as usize]
     }
 
     /// Returns the numbers of the jobs that share a key of this kind, newest first.
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn push(&mut self, open: OpenJob) {
-        let number = self.first + self.jobs.len() as u64;
+        let number = self.first_number + self.jobs.len() as u64;
         for (by_key, key) in self.by_key.iter_mut().zip(open.keys.0) {
             if let Some(key) = key {
                 by_key.entry(key).or_default().push(number);
@@ -134,13 +134,13 @@
         for (by_key, key) in self.by_key.iter_mut().zip(open.keys.0) {
             let Some(key) = key else { continue };
             if let Some(numbers) = by_key.get_mut(&key) {
-                numbers.retain(|number| *number != self.first);
+                numbers.retain(|number| *number != self.first_number);
                 if numbers.is_empty() {
                     by_key.remove(&key);
                 }
             }
         }
-        self.first += 1;
+        self.first_number += 1;
         Some(open.job)
     }
 }
--- a/crates/traffic/src/har/entry.rs
+++ b/crates/traffic/src/har/entry.rs
@@ -78,12 +78,12 @@
     })
 }
 
-fn start_time(started: Option<String>, timestamps: &mut Reader) -> Result<RecordedTime, Reason> {
-    let started = started
+fn start_time(start_text: Option<String>, timestamps: &mut Reader) -> Result<RecordedTime, Reason> {
+    let start_text = start_text
         .filter(|text| !text.is_empty())
         .ok_or(Reason::NoTime)?;
     timestamps
-        .read(&TimeFormat::Iso, &started)
+        .read(&TimeFormat::Iso, &start_text)
         .map_err(|_| Reason::BadTime)
 }
 
--- a/crates/traffic/src/har/entry_scanner.rs
+++ b/crates/traffic/src/har/entry_scanner.rs
@@ -64,26 +64,26 @@
         if !self.quoted || self.escaped || self.hex > 0 || self.truncated {
             return 0;
         }
-        let allowed = MAX_TEXT_BYTES
+        let max_length = MAX_TEXT_BYTES
             .saturating_sub(self.text_bytes)
             .min(MAX_ENTRY_BYTES - self.entry.len());
-        let bytes = &bytes[..bytes.len().min(allowed)];
-        let plain = memchr2(b'"', b'\\', bytes).unwrap_or(bytes.len());
-        self.entry.extend_from_slice(&bytes[..plain]);
-        self.text_bytes += plain;
-        plain
+        let bytes = &bytes[..bytes.len().min(max_length)];
+        let plain_length = memchr2(b'"', b'\\', bytes).unwrap_or(bytes.len());
+        self.entry.extend_from_slice(&bytes[..plain_length]);
+        self.text_bytes += plain_length;
+        plain_length
     }
 
     /// Processes a byte. Returns true if it ends the entry.
     pub(super) fn push(&mut self, byte: u8) -> bool {
-        let keep = match self.quoted {
+        let is_kept = match self.quoted {
             true => self.push_quoted(byte),
             false => self.push_unquoted(byte),
         };
         self.too_long |= self.depth > MAX_DEPTH;
-        if keep && self.entry.len() < MAX_ENTRY_BYTES {
+        if is_kept && self.entry.len() < MAX_ENTRY_BYTES {
             self.entry.push(byte);
-        } else if keep {
+        } else if is_kept {
             self.too_long = true;
         }
         self.depth == 0
@@ -92,18 +92,18 @@
     /// Processes a byte of a string. Returns true if it is kept.
     fn push_quoted(&mut self, byte: u8) -> bool {
         self.text_bytes += 1;
-        let ends = byte == b'"' && !self.escaped && self.hex == 0;
+        let ends_string = byte == b'"' && !self.escaped && self.hex == 0;
         // Truncates only before a plain character: never within a multi-byte character, an escape, or the two escapes of
         // a surrogate pair.
-        let plain = !self.escaped && self.hex == 0 && byte != b'\\' && byte & 0xc0 != 0x80;
-        self.truncated |= self.text_bytes > MAX_TEXT_BYTES && plain;
+        let is_plain = !self.escaped && self.hex == 0 && byte != b'\\' && byte & 0xc0 != 0x80;
+        self.truncated |= self.text_bytes > MAX_TEXT_BYTES && is_plain;
         self.hex = match byte {
             b'u' if self.escaped => 4,
             _ => self.hex.saturating_sub(1),
         };
         self.escaped = byte == b'\\' && !self.escaped;
-        self.quoted = !ends;
-        ends || !self.truncated
+        self.quoted = !ends_string;
+        ends_string || !self.truncated
     }
 
     /// Processes a byte outside strings. Returns true if it is kept; whitespace is not.
--- a/crates/traffic/src/har/splitter.rs
+++ b/crates/traffic/src/har/splitter.rs
@@ -42,17 +42,17 @@
 impl Splitter {
     /// Processes a chunk of the document and passes each entry that ends in it to `emit`.
     pub fn push(&mut self, bytes: &[u8], mut emit: impl FnMut(Element<'_>)) {
-        let mut rest = bytes;
-        while let Some((&byte, after)) = rest.split_first() {
+        let mut remaining_bytes = bytes;
+        while let Some((&byte, following_bytes)) = remaining_bytes.split_first() {
             match self.state {
                 ParserState::Before if self.finder.push(byte) => {
                     self.state = ParserState::Between;
                 }
                 ParserState::Between => self.push_between(byte),
                 ParserState::Within => {
-                    let plain = self.scanner.push_plain(rest);
-                    if plain > 0 {
-                        rest = &rest[plain..];
+                    let plain_length = self.scanner.push_plain(remaining_bytes);
+                    if plain_length > 0 {
+                        remaining_bytes = &remaining_bytes[plain_length..];
                         continue;
                     }
                     if self.scanner.push(byte) {
@@ -62,7 +62,7 @@
                 ParserState::Before => {}
                 ParserState::After => return,
             }
-            rest = after;
+            remaining_bytes = following_bytes;
         }
     }
 
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -66,14 +66,14 @@
     }
     files.sort_by(|a, b| (a.first, a.path).cmp(&(b.first, b.path)));
     let mut intake = Intake::new(options, paths.len());
-    let mut made_of = Vec::new();
+    let mut file_names = Vec::new();
     for (n, file) in files.into_iter().enumerate() {
-        made_of.push(intake.read_file(&file, n as u32, bytes_read)?);
+        file_names.push(intake.read_file(&file, n as u32, bytes_read)?);
     }
     let (sorter, mut tally) = intake.finish();
     check_ratio_of_bad_records(&tally, options.max_bad)?;
     let sorted = sorter.finish().map_err(write_error)?;
-    let writer = Writer::new(out, &Header::new(made_of, options.seed)).map_err(write_error)?;
+    let writer = Writer::new(out, &Header::new(file_names, options.seed)).map_err(write_error)?;
     let writer = fold(sorted, options, writer, &mut tally)?;
     if tally.taken == 0 {
         return Err(ImportError::NoJobs {
@@ -94,18 +94,18 @@
 ) -> Result<Writer<W>, ImportError> {
     let mut attempts = Spread::new(sorted, options.seed);
     let mut folder = Folder::new(folding_rules(&options.mapping));
-    let mut failed = None;
+    let mut write_failure = None;
     for attempt in &mut attempts {
         let attempt = attempt.map_err(write_error)?;
         folder.push(attempt, tally, |job| {
-            failed = failed.take().or(writer.write(&job).err());
+            write_failure = write_failure.take().or(writer.write(&job).err());
         });
-        if let Some(error) = failed.take() {
+        if let Some(error) = write_failure.take() {
             return Err(write_error(error));
         }
     }
-    folder.finish(|job| failed = failed.take().or(writer.write(&job).err()));
-    if let Some(error) = failed {
+    folder.finish(|job| write_failure = write_failure.take().or(writer.write(&job).err()));
+    if let Some(error) = write_failure {
         return Err(write_error(error));
     }
     tally.remark_count(Remark::Spread, attempts.spread);
@@ -163,8 +163,8 @@
 /// were not recognised by a key are marked, so that they are folded again.
 pub fn attempts_of(mut job: Job) -> impl Iterator<Item = Attempt> {
     let retries = std::mem::take(&mut job.retries);
-    let first = attempt(job.clone(), false);
-    let rest = retries.into_iter().map(move |retry| {
+    let first_attempt = attempt(job.clone(), false);
+    let retry_attempts = retries.into_iter().map(move |retry| {
         let job = Job {
             at: retry.at,
             status: retry.status,
@@ -173,7 +173,7 @@
         };
         attempt(job, retry.evidence != Evidence::Key)
     });
-    std::iter::once(first).chain(rest)
+    std::iter::once(first_attempt).chain(retry_attempts)
 }
 
 /// Returns an attempt from a recording, whose time is known to the microsecond.
--- a/crates/traffic/src/import/duplicates.rs
+++ b/crates/traffic/src/import/duplicates.rs
@@ -14,8 +14,8 @@
     /// Returns true if a record with this hash was read before; otherwise remembers it. Unless `in_same_file` is set, only
     /// records of other files count as duplicates.
     pub(super) fn is_duplicate(&mut self, hash: u64, file: u32, in_same_file: bool) -> bool {
-        if let Some(first) = self.0.iter().find_map(|generation| generation.get(&hash)) {
-            return in_same_file || *first != file;
+        if let Some(first_file) = self.0.iter().find_map(|generation| generation.get(&hash)) {
+            return in_same_file || *first_file != file;
         }
         if self.0[0].len() >= MAX_RECENT_RECORDS {
             self.0.swap(0, 1);
--- a/crates/traffic/src/import/intake.rs
+++ b/crates/traffic/src/import/intake.rs
@@ -35,15 +35,15 @@
     tally: Tally,
     names: NameInterner,
     sorter: Sorter,
-    recent: RecentRecords,
+    recent_records: RecentRecords,
     /// Number of files of the import.
     files: usize,
     /// Sequence number of the last attempt passed to the sorter.
     seq: u64,
     /// Latest time in the current file, or since the clock was last set back.
-    latest: Option<Micros>,
+    latest_time: Option<Micros>,
     /// Time of the preceding record of the current file.
-    previous: Option<Micros>,
+    previous_time: Option<Micros>,
     /// In a strict import, the error of the first record that could not be understood.
     fatal: Option<ImportError>,
 }
@@ -55,11 +55,11 @@
             tally: Tally::default(),
             names: NameInterner::default(),
             sorter: Sorter::default(),
-            recent: RecentRecords::default(),
+            recent_records: RecentRecords::default(),
             files,
             seq: 0,
-            latest: None,
-            previous: None,
+            latest_time: None,
+            previous_time: None,
             fatal: None,
         }
     }
@@ -71,7 +71,7 @@
 
     /// Resets the times of the preceding file.
     pub(super) fn begin_file(&mut self) {
-        (self.latest, self.previous) = (None, None);
+        (self.latest_time, self.previous_time) = (None, None);
     }
 
     /// Returns true if the import has failed, so that nothing more needs to be read.
@@ -119,33 +119,35 @@
         origin: Origin<'_>,
         timestamps: &mut Reader,
     ) -> io::Result<bool> {
-        // Queried for every record, which resets the flag; otherwise a rejected record would set it for the next one.
-        let dst = timestamps.was_dst();
-        let mapped = raw.and_then(|raw| self.options.mapping.map_record(&raw, &mut self.names));
-        let mapped = match mapped {
-            Ok(mapped) => mapped,
+        // Querying the flag resets it. It is queried for every record, as a rejected record would otherwise set it for the
+        // next one.
+        let was_dst = timestamps.was_dst();
+        let mapped_record =
+            raw.and_then(|raw| self.options.mapping.map_record(&raw, &mut self.names));
+        let mapped_record = match mapped_record {
+            Ok(mapped_record) => mapped_record,
             Err(reason) => {
                 self.reject(reason, origin.position, origin.text);
                 return Ok(false);
             }
         };
-        if self.is_duplicate(&mapped, origin) {
+        if self.is_duplicate(&mapped_record, origin) {
             self.reject(Reason::Duplicate, origin.position, origin.text);
             return Ok(false);
         }
-        for remark in &mapped.remarks {
+        for remark in &mapped_record.remarks {
             self.remark(*remark, origin.position, origin.text);
         }
-        if dst {
+        if was_dst {
             self.remark(Remark::Dst, origin.position, origin.text);
         }
-        self.check_time(mapped.job.at, origin);
+        self.check_time(mapped_record.job.at, origin);
         self.push(Attempt {
-            job: mapped.job,
-            resolution: mapped.resolution,
+            job: mapped_record.job,
+            resolution: mapped_record.resolution,
             seq: 0,
-            id: mapped.id,
-            marked: mapped.marked,
+            id: mapped_record.id,
+            marked: mapped_record.marked,
             file: origin.file,
         })?;
         Ok(true)
@@ -176,23 +178,26 @@
         if !has_id {
             hash.write(origin.text);
         }
-        (has_id || self.files > 1) && self.recent.is_duplicate(hash.finish(), origin.file, has_id)
+        (has_id || self.files > 1)
+            && self
+                .recent_records
+                .is_duplicate(hash.finish(), origin.file, has_id)
     }
 
     /// Counts a clock step, a gap or reordering relative to the preceding records of the file.
-    fn check_time(&mut self, at: Micros, origin: Origin<'_>) {
-        match (self.latest, self.previous) {
-            (Some(latest), _) if at + CLOCK_STEP_BACK < latest => {
+    fn check_time(&mut self, time: Micros, origin: Origin<'_>) {
+        match (self.latest_time, self.previous_time) {
+            (Some(latest), _) if time + CLOCK_STEP_BACK < latest => {
                 self.remark(Remark::ClockBack, origin.position, origin.text);
-                self.latest = Some(at); // later records are compared with the new time
+                self.latest_time = Some(time); // later records are compared with the new time
             }
-            (Some(latest), _) if at > latest + MIN_GAP => {
+            (Some(latest), _) if time > latest + MIN_GAP => {
                 self.remark(Remark::Gap, origin.position, origin.text);
             }
-            (_, Some(previous)) if at < previous => self.tally.remark_count(Remark::Reordered, 1),
+            (_, Some(prior)) if time < prior => self.tally.remark_count(Remark::Reordered, 1),
             _ => {}
         }
-        self.latest = Some(self.latest.map_or(at, |latest| latest.max(at)));
-        self.previous = Some(at);
+        self.latest_time = Some(self.latest_time.map_or(time, |latest| latest.max(time)));
+        self.previous_time = Some(time);
     }
 }
--- a/crates/traffic/src/import/probe.rs
+++ b/crates/traffic/src/import/probe.rs
@@ -28,7 +28,7 @@
 /// The file cannot be read, or its kind cannot be detected.
 pub(super) fn probe<'a>(path: &'a Path, options: &Options) -> Result<ProbedFile<'a>, ImportError> {
     let head = match &options.format {
-        Some(Kind::Har | Kind::Recording) => Vec::new(), // the kind is given, and the first time is not used
+        Some(Kind::Har | Kind::Recording) => Vec::new(), // The kind is given, and the first time is not used.
         _ => read_head(path)?,
     };
     let kind = match &options.format {
--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -81,9 +81,9 @@
         };
         let mut records = RecordReader::new(input);
         let mut line = 0;
-        while let Some(read) = records.next()? {
+        while let Some(record_read) = records.next()? {
             line += 1;
-            match read {
+            match record_read {
                 RecordRead::Complete {
                     bytes,
                     unterminated,
@@ -149,53 +149,54 @@
         to_import_error: &dyn Fn(io::Error) -> ImportError,
     ) -> Result<(), ImportError> {
         let mut timestamps = self.timestamps();
-        let (mut splitter, mut entry, mut failed) = (Splitter::default(), 0, None);
+        let (mut splitter, mut entry_number, mut intake_error) = (Splitter::default(), 0, None);
         loop {
             let bytes = match input.fill_buf() {
                 Ok(bytes) => bytes,
                 Err(e) if is_damaged_data(&e) => break,
                 Err(e) => return Err(to_import_error(e)),
             };
-            let used = bytes.len();
-            if used == 0 {
+            let chunk_length = bytes.len();
+            if chunk_length == 0 {
                 break;
             }
             splitter.push(bytes, |element| {
-                entry += 1;
+                entry_number += 1;
                 match element {
                     Element::Entry(text) => {
                         let raw = har::read(text, &mut timestamps);
-                        let taken = self.take(raw, file.origin(entry, text), &mut timestamps);
-                        failed = failed.take().or(taken.err());
+                        let take_result =
+                            self.take(raw, file.origin(entry_number, text), &mut timestamps);
+                        intake_error = intake_error.take().or(take_result.err());
                     }
                     Element::TooLong(text) => {
-                        self.reject(Reason::TooLong, file.position(entry), text);
+                        self.reject(Reason::TooLong, file.position(entry_number), text);
                     }
                 }
             });
-            input.consume(used);
-            if let Some(e) = failed {
+            input.consume(chunk_length);
+            if let Some(e) = intake_error {
                 return Err(to_import_error(e));
             }
             if self.has_failed() {
                 return Ok(());
             }
         }
-        self.end_har(&mut splitter, file, entry + 1)
+        self.end_har(&mut splitter, file, entry_number + 1)
     }
 
-    /// Ends the document, which may be truncated within the entry of number `next`.
+    /// Ends the document, which may be truncated within entry number `next_entry`.
     fn end_har(
         &mut self,
         splitter: &mut Splitter,
         file: FileId<'_>,
-        next: u64,
+        next_entry: u64,
     ) -> Result<(), ImportError> {
-        let truncated = splitter
+        let truncated_entry = splitter
             .finish()
             .map_err(|e| ImportError::format(file.name, e))?;
-        if let Some(text) = truncated {
-            self.reject(Reason::Truncated, file.position(next), text);
+        if let Some(text) = truncated_entry {
+            self.reject(Reason::Truncated, file.position(next_entry), text);
         }
         Ok(())
     }
--- a/crates/traffic/src/import/record_reader.rs
+++ b/crates/traffic/src/import/record_reader.rs
@@ -57,7 +57,7 @@
     /// Whether the partial record is complete and was returned, so that it is cleared by the next call.
     partial_done: bool,
     /// Number of bytes of the buffer to consume for the record returned last.
-    used: usize,
+    unconsumed: usize,
 }
 
 impl<'a> RecordReader<'a> {
@@ -66,7 +66,7 @@
             input,
             partial: PartialRecord::default(),
             partial_done: false,
-            used: 0,
+            unconsumed: 0,
         }
     }
 
@@ -75,7 +75,7 @@
     /// # Errors
     /// The file cannot be read, for a reason other than damaged compressed data.
     pub(super) fn next(&mut self) -> io::Result<Option<RecordRead<'_>>> {
-        self.input.consume(std::mem::take(&mut self.used));
+        self.input.consume(std::mem::take(&mut self.unconsumed));
         if std::mem::take(&mut self.partial_done) {
             self.partial.clear();
         }
@@ -87,15 +87,15 @@
                 }
                 Err(e) => return Err(e),
             };
-            let ended = buffer.is_empty();
-            if ended && self.partial.is_empty() {
+            let has_ended = buffer.is_empty();
+            if has_ended && self.partial.is_empty() {
                 return Ok(None);
             }
-            let newline = memchr(b'\n', buffer);
-            let length = newline.unwrap_or(buffer.len());
-            let used = newline.map_or(length, |at| at + 1);
-            if newline.is_some() && self.partial.is_empty() {
-                self.used = used;
+            let newline_index = memchr(b'\n', buffer);
+            let length = newline_index.unwrap_or(buffer.len());
+            let consumed_length = newline_index.map_or(length, |at| at + 1);
+            if newline_index.is_some() && self.partial.is_empty() {
+                self.unconsumed = consumed_length;
                 let bytes = &self.input.fill_buf()?[..length];
                 return Ok(Some(match length > MAX_RECORD_BYTES {
                     true => RecordRead::TooLong(bytes),
@@ -106,14 +106,14 @@
                 }));
             }
             self.partial.extend(&buffer[..length]);
-            self.input.consume(used);
-            if newline.is_some() || ended {
+            self.input.consume(consumed_length);
+            if newline_index.is_some() || has_ended {
                 self.partial_done = true;
                 return Ok(Some(match self.partial.too_long {
                     true => RecordRead::TooLong(&self.partial.bytes),
                     false => RecordRead::Complete {
                         bytes: &self.partial.bytes,
-                        unterminated: ended,
+                        unterminated: has_ended,
                     },
                 }));
             }
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -35,7 +35,7 @@
     /// Time zone of timestamps without an offset.
     pub zone: TimeZone,
     /// Networks of proxies whose `X-Forwarded-For` is used.
-    trusted: Networks,
+    proxies: Networks,
     /// Named networks of clients.
     networks: Networks,
     extractors: Extractors,
@@ -170,7 +170,7 @@
     /// Returns the client's address, which may be forwarded by trusted proxies; `None`: the log has no readable peer address.
     fn client_address(&self, raw: &RawRecord<'_>, remarks: &mut Vec<Remark>) -> Option<IpAddr> {
         let peer = parse_address(raw.peer.as_deref()?)?;
-        match forwarded_client(peer, raw.header("x-forwarded-for"), &self.trusted) {
+        match forwarded_client(peer, raw.header("x-forwarded-for"), &self.proxies) {
             Ok(address) => Some(address),
             Err(last_readable) => {
                 remarks.push(Remark::BadForwarded);
@@ -186,24 +186,24 @@
         class: &str,
         remarks: &mut Vec<Remark>,
     ) -> JobNumbers {
-        let mut unreadable = context.raw.has_unreadable_number;
+        let mut has_unreadable = context.raw.has_unreadable_number;
         let mut positive = |extractors: &[Extractor], max: f64| {
             let text = context.first_value(extractors)?;
             let value = text.trim().parse::<f64>().ok();
             let value = value.filter(|v| v.is_finite() && *v > 0.0 && *v <= max);
-            unreadable |= value.is_none();
+            has_unreadable |= value.is_none();
             value
         };
         let deadline = positive(&self.extractors.deadline, MAX_DEADLINE_MS as f64)
             .map(|ms| (ms * 1000.0) as Micros);
-        let of_class = self.file.deadline_of.get(class);
-        let of_class = of_class.map(|ms| (*ms).min(MAX_DEADLINE_MS) as Micros * 1000);
+        let class_deadline = self.file.deadline_of.get(class);
+        let class_deadline = class_deadline.map(|ms| (*ms).min(MAX_DEADLINE_MS) as Micros * 1000);
         let slots = positive(&self.extractors.slots, MAX_SLOTS).map(|v| v as f32);
-        if unreadable {
+        if has_unreadable {
             remarks.push(Remark::BadNumber);
         }
         JobNumbers {
-            deadline: deadline.or(of_class),
+            deadline: deadline.or(class_deadline),
             slots,
         }
     }
@@ -250,9 +250,9 @@
         IpAddr::V4(v4) => u128::from(v4.to_bits()),
         IpAddr::V6(v6) => v6.to_bits(),
     };
-    let folded = (bits as u64) ^ ((bits >> 64) as u64).rotate_left(29);
+    let folded_bits = (bits as u64) ^ ((bits >> 64) as u64).rotate_left(29);
     // The finalizer of SplitMix64, so that the numbers of adjacent addresses differ in many bits.
-    let mixed = (folded ^ (folded >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    (mixed ^ (mixed >> 31)).max(1)
+    let mixed_bits = (folded_bits ^ (folded_bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed_bits = (mixed_bits ^ (mixed_bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    (mixed_bits ^ (mixed_bits >> 31)).max(1)
 }
--- a/crates/traffic/src/mapping/compile.rs
+++ b/crates/traffic/src/mapping/compile.rs
@@ -49,9 +49,9 @@
         problems.add("/zone".into(), EntryProblem::Zone(file.zone.clone()));
         TimeZone::UTC
     });
-    let (mut trusted, mut networks) = (Networks::default(), Networks::default());
+    let (mut proxies, mut networks) = (Networks::default(), Networks::default());
     for (n, network) in file.trusted.iter().enumerate() {
-        problems.add_network(&mut trusted, format!("/trusted/{n}"), network, "trusted");
+        problems.add_network(&mut proxies, format!("/trusted/{n}"), network, "trusted");
     }
     for (name, prefixes) in &file.networks {
         for (n, network) in prefixes.iter().enumerate() {
@@ -81,7 +81,7 @@
         true => Ok(Mapping {
             file,
             zone,
-            trusted,
+            proxies,
             networks,
             extractors,
         }),
--- a/crates/traffic/src/mapping/extractor.rs
+++ b/crates/traffic/src/mapping/extractor.rs
@@ -30,7 +30,7 @@
     /// Replacements for values; empty: values are not renamed.
     names: FxHashMap<String, String>,
     /// Whether values that are missing in `names` are kept as they are.
-    others: bool,
+    keeps_others: bool,
 }
 
 impl Extractor {
@@ -42,7 +42,7 @@
         Ok(Extractor {
             source: Source::compile(&rule.from, no_networks)?,
             names: rule.names.clone().into_iter().collect(),
-            others: rule.others,
+            keeps_others: rule.others,
         })
     }
 }
@@ -89,7 +89,7 @@
             }
             match extractor.names.get(value.as_ref()) {
                 Some(name) => Some(Cow::Borrowed(name.as_str())),
-                None => extractor.others.then_some(value),
+                None => extractor.keeps_others.then_some(value),
             }
         })
     }
@@ -110,8 +110,8 @@
                     .nth((-1 - n) as usize)?,
             ),
             Source::Path(regex) => {
-                let found = regex.captures(self.path)?;
-                plain(found.get(1).or(found.get(0))?.as_str())
+                let captures = regex.captures(self.path)?;
+                plain(captures.get(1).or(captures.get(0))?.as_str())
             }
             Source::Query(name) => plain(self.raw.parameter(name)?),
             Source::Header(name) => plain(self.raw.header(name)?),
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -116,8 +116,8 @@
     if let Ok(address) = text.parse::<SocketAddr>() {
         return Some(unmap_v4(address.ip()));
     }
-    let inner = text.strip_prefix('[')?.split(']').next()?;
-    inner
+    let bracketed_address = text.strip_prefix('[')?.split(']').next()?;
+    bracketed_address
         .parse::<Ipv6Addr>()
         .ok()
         .map(|v6| unmap_v4(IpAddr::V6(v6)))
@@ -138,25 +138,25 @@
 /// An entry written by a trusted proxy is not an address; returns the last valid address before it was reached.
 pub fn forwarded_client(
     peer: IpAddr,
-    forwarded: Option<&str>,
-    trusted: &Networks,
+    forwarded_header: Option<&str>,
+    trusted_proxies: &Networks,
 ) -> Result<IpAddr, IpAddr> {
-    let mut last = peer;
-    if !trusted.contains(peer) {
+    let mut last_address = peer;
+    if !trusted_proxies.contains(peer) {
         return Ok(peer);
     }
-    for text in forwarded
+    for text in forwarded_header
         .unwrap_or("")
         .rsplit(',')
         .filter(|t| !t.trim().is_empty())
     {
         match parse_address(text) {
-            Some(address) => last = address,
-            None => return Err(last),
+            Some(address) => last_address = address,
+            None => return Err(last_address),
         }
-        if !trusted.contains(last) {
+        if !trusted_proxies.contains(last_address) {
             break;
         }
     }
-    Ok(last)
+    Ok(last_address)
 }
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -45,10 +45,10 @@
     type Item = Job;
 
     fn next(&mut self) -> Option<Job> {
-        let heads = self.0.iter_mut().enumerate();
-        let first = heads
+        let next_jobs = self.0.iter_mut().enumerate();
+        let earliest = next_jobs
             .filter_map(|(n, i)| i.peek().map(|j| (j.at, n)))
             .min()?;
-        self.0[first.1].next()
+        self.0[earliest.1].next()
     }
 }
--- a/crates/traffic/src/ops/pseudonyms.rs
+++ b/crates/traffic/src/ops/pseudonyms.rs
@@ -23,22 +23,22 @@
                 .update(text.as_bytes());
             hasher.finalize()
         };
-        let short = |field: &str, text: &str| hash(field, text).to_hex()[..16].to_string();
+        let short_hash = |field: &str, text: &str| hash(field, text).to_hex()[..16].to_string();
         if !job.subject.is_empty() {
-            job.subject = short("subject", &job.subject);
+            job.subject = short_hash("subject", &job.subject);
         }
-        job.key = job.key.as_deref().map(|k| short("key", k));
+        job.key = job.key.as_deref().map(|k| short_hash("key", k));
         if job.client != 0 {
             let bytes = hash("client", &job.client.to_string());
-            let first = bytes.as_bytes()[..8]
+            let hash_prefix = bytes.as_bytes()[..8]
                 .iter()
                 .fold(0, |n, b| n << 8 | u64::from(*b));
-            job.client = first.max(1);
+            job.client = hash_prefix.max(1);
         }
         if parishes && !job.parish.is_empty() {
             let parish = names.entry(job.parish.clone());
             job.parish = parish
-                .or_insert_with_key(|p| short("parish", p).into())
+                .or_insert_with_key(|p| short_hash("parish", p).into())
                 .clone();
         }
         job
--- a/crates/traffic/src/ops/scale.rs
+++ b/crates/traffic/src/ops/scale.rs
@@ -60,26 +60,26 @@
     block: Micros,
     rng: Pcg64Mcg,
     /// Scaled jobs of the current block that are not yet returned.
-    ready: VecDeque<Job>,
+    ready_jobs: VecDeque<Job>,
     /// Copies made so far; makes their subjects and keys unique.
-    clones: u64,
+    clone_count: u64,
 }
 
 impl<I: Iterator<Item = Job>> Scaled<I> {
     /// Scales `input` in blocks of the duration `block`; `seed` initialises the random number generator.
     pub fn new(input: I, factor: Factor, block: Micros, seed: u64) -> Self {
-        let (rng, ready) = (Pcg64Mcg::seed_from_u64(seed), VecDeque::new());
+        let (rng, ready_jobs) = (Pcg64Mcg::seed_from_u64(seed), VecDeque::new());
         Scaled {
             input: input.peekable(),
             factor,
             block: block.max(1),
             rng,
-            ready,
-            clones: 0,
+            ready_jobs,
+            clone_count: 0,
         }
     }
 
-    /// Scales the next block into `ready`; `None`: the input has ended.
+    /// Scales the next block into `ready_jobs`; `None`: the input has ended.
     fn scale_next_block(&mut self) -> Option<()> {
         let start = self.input.peek()?.at.div_euclid(self.block) * self.block;
         let end = start + self.block;
@@ -88,7 +88,7 @@
             block_jobs.push(job);
         }
         let times = self.factor.at(start + self.block / 2).max(0.0);
-        let mut all = Vec::new();
+        let mut scaled_jobs = Vec::new();
         for clone_number in 0..times.ceil() as u64 {
             let probability = (times - clone_number as f64).min(1.0);
             let rotation = if clone_number == 0 {
@@ -101,16 +101,16 @@
                     continue;
                 }
                 if clone_number == 0 {
-                    all.push(job.clone());
+                    scaled_jobs.push(job.clone());
                     continue;
                 }
-                self.clones += 1;
-                let at = start + (job.at - start + rotation) % self.block;
-                all.push(clone_at(job, at, self.clones));
+                self.clone_count += 1;
+                let rotated_at = start + (job.at - start + rotation) % self.block;
+                scaled_jobs.push(clone_at(job, rotated_at, self.clone_count));
             }
         }
-        all.sort_by_key(|j| j.at);
-        self.ready.extend(all);
+        scaled_jobs.sort_by_key(|j| j.at);
+        self.ready_jobs.extend(scaled_jobs);
         Some(())
     }
 }
@@ -119,9 +119,9 @@
 /// subject and the key, so that they differ from those of the original and of other copies.
 fn clone_at(job: &Job, at: Micros, number: u64) -> Job {
     let mut job = job.clone();
-    let by = at - job.at;
+    let offset = at - job.at;
     job.at = at;
-    job.retries.iter_mut().for_each(|retry| retry.at += by);
+    job.retries.iter_mut().for_each(|retry| retry.at += offset);
     let numbered = |text: &str| format!("{text}~{number}");
     job.key = job.key.as_deref().map(numbered);
     if !job.subject.is_empty() {
@@ -134,9 +134,9 @@
     type Item = Job;
 
     fn next(&mut self) -> Option<Job> {
-        while self.ready.is_empty() {
+        while self.ready_jobs.is_empty() {
             self.scale_next_block()?;
         }
-        self.ready.pop_front()
+        self.ready_jobs.pop_front()
     }
 }
--- a/crates/traffic/src/ops/summary.rs
+++ b/crates/traffic/src/ops/summary.rs
@@ -44,8 +44,8 @@
         self.to = Some(job.at);
         *self.classes.entry(job.class.to_string()).or_default() += 1;
         *self.parishes.entry(job.parish.to_string()).or_default() += 1;
-        let last = job.retries.last().map_or(job.status, |a| a.status);
-        *self.statuses.entry(last).or_default() += 1;
+        let last_status = job.retries.last().map_or(job.status, |a| a.status);
+        *self.statuses.entry(last_status).or_default() += 1;
         let second = ((job.at - from).max(0) / SECOND).min(MAX_SECONDS) as usize;
         if self.per_second.len() <= second {
             self.per_second.resize(second + 1, 0);
@@ -62,15 +62,15 @@
 
     /// Computes the dispersion and the mean response time, which need all jobs.
     pub fn finish(mut self) -> Self {
-        let n = self.per_second.len().max(1) as f64;
-        let mean = self.per_second.iter().map(|c| f64::from(*c)).sum::<f64>() / n;
-        let var = self
+        let second_count = self.per_second.len().max(1) as f64;
+        let mean = self.per_second.iter().map(|c| f64::from(*c)).sum::<f64>() / second_count;
+        let variance = self
             .per_second
             .iter()
             .map(|c| (f64::from(*c) - mean).powi(2))
             .sum::<f64>()
-            / n;
-        self.dispersion = if mean > 0.0 { var / mean } else { 0.0 };
+            / second_count;
+        self.dispersion = if mean > 0.0 { variance / mean } else { 0.0 };
         self.mean_took = self.took.0 / self.took.1.max(1) as f64;
         self
     }
--- a/crates/traffic/src/order/sorter.rs
+++ b/crates/traffic/src/order/sorter.rs
@@ -21,7 +21,7 @@
     /// Number of the run that is being written.
     run: u32,
     /// Time of the last attempt written to that run.
-    last: Micros,
+    last_written_at: Micros,
     /// The run being written; `None` before the first attempt is spilled.
     out: Option<RunWriter>,
     /// Finished runs.
@@ -41,7 +41,7 @@
             heap: BinaryHeap::new(),
             capacity: capacity.max(1),
             run: 0,
-            last: Micros::MIN,
+            last_written_at: Micros::MIN,
             out: None,
             runs: Vec::new(),
         }
@@ -53,7 +53,7 @@
     /// A temporary file cannot be written.
     pub fn push(&mut self, attempt: Attempt) -> io::Result<()> {
         // An attempt earlier than the last one written goes to the next run.
-        let run = self.run + u32::from(self.out.is_some() && attempt.job.at < self.last);
+        let run = self.run + u32::from(self.out.is_some() && attempt.job.at < self.last_written_at);
         self.heap.push(Reverse(HeapEntry::new(run, attempt)));
         if self.heap.len() > self.capacity
             && let Some(Reverse(entry)) = self.heap.pop()
@@ -73,7 +73,7 @@
             self.run = entry.run;
             self.out = Some(RunWriter::new()?);
         }
-        self.last = entry.key.at;
+        self.last_written_at = entry.key.at;
         match &mut self.out {
             Some(out) => out.write(&entry.attempt),
             None => Ok(()),
@@ -81,18 +81,18 @@
     }
 
     fn end_run(&mut self) -> io::Result<()> {
-        if let Some(done) = self.out.take() {
-            self.runs.push(done.finish()?);
+        if let Some(finished_run) = self.out.take() {
+            self.runs.push(finished_run.finish()?);
         }
         Ok(())
     }
 
     fn merge_runs(&mut self) -> io::Result<()> {
-        let mut merged = RunWriter::new()?;
+        let mut merged_run = RunWriter::new()?;
         for attempt in Merge::new(std::mem::take(&mut self.runs))? {
-            merged.write(&*attempt?)?;
+            merged_run.write(&*attempt?)?;
         }
-        self.runs.push(merged.finish()?);
+        self.runs.push(merged_run.finish()?);
         Ok(())
     }
 
@@ -102,12 +102,15 @@
     /// A temporary file cannot be read.
     pub fn finish(mut self) -> io::Result<Sorted> {
         self.end_run()?;
-        let mut rest: Vec<HeapEntry> = self.heap.into_iter().map(|r| r.0).collect();
-        rest.sort_by_key(|entry| entry.key);
+        let mut heap_entries: Vec<HeapEntry> = self.heap.into_iter().map(|r| r.0).collect();
+        heap_entries.sort_by_key(|entry| entry.key);
         Ok(Sorted {
             merge: Merge::new(self.runs)?,
             peeked: None,
-            rest: rest.into_iter().map(|entry| entry.attempt).collect(),
+            in_memory: heap_entries
+                .into_iter()
+                .map(|entry| entry.attempt)
+                .collect(),
         })
     }
 }
@@ -167,7 +170,7 @@
     /// Next attempt of the merged runs, if it was read already.
     peeked: Option<Box<Attempt>>,
     /// Attempts that were never written to disk, in order.
-    rest: VecDeque<Box<Attempt>>,
+    in_memory: VecDeque<Box<Attempt>>,
 }
 
 impl Iterator for Sorted {
@@ -181,7 +184,7 @@
                 None => {}
             }
         }
-        let from_runs = match (&self.peeked, self.rest.front()) {
+        let from_runs = match (&self.peeked, self.in_memory.front()) {
             (Some(a), Some(b)) => a.sort_key() <= b.sort_key(),
             (Some(_), None) => true,
             (None, _) => false,
@@ -189,7 +192,7 @@
         let next = if from_runs {
             self.peeked.take()
         } else {
-            self.rest.pop_front()
+            self.in_memory.pop_front()
         };
         next.map(|attempt| Ok(*attempt))
     }
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -33,16 +33,16 @@
         }
     }
 
-    /// Spreads `first` and all following attempts with the same timestamp.
-    fn spread_next(&mut self, first: Attempt) {
-        let (at, resolution) = (first.job.at, first.resolution.max(1));
-        let same = |attempt: &io::Result<Attempt>| {
+    /// Spreads `first_attempt` and all following attempts with the same timestamp.
+    fn spread_next(&mut self, first_attempt: Attempt) {
+        let (at, resolution) = (first_attempt.job.at, first_attempt.resolution.max(1));
+        let has_same_time = |attempt: &io::Result<Attempt>| {
             attempt
                 .as_ref()
                 .is_ok_and(|a| a.job.at == at && a.resolution.max(1) == resolution)
         };
-        let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
-        while let Some(Ok(attempt)) = self.input.next_if(same) {
+        let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first_attempt]);
+        while let Some(Ok(attempt)) = self.input.next_if(has_same_time) {
             group.push(attempt);
         }
         if resolution >= SECOND {
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -52,11 +52,11 @@
 
     /// Returns the value of a cookie: from a separately logged cookie, or else from the `Cookie` header.
     pub fn cookie(&self, name: &str) -> Option<&str> {
-        let separate = self
+        let separate_cookie = self
             .headers
             .iter()
             .find(|field| field.name.strip_prefix("cookie.") == Some(name));
-        if let Some(field) = separate {
+        if let Some(field) = separate_cookie {
             return Some(&field.value);
         }
         let cookies = self.header("cookie")?;
@@ -70,9 +70,11 @@
     /// Returns the path, without scheme, authority, query and fragment.
     pub fn path(&self) -> Option<&str> {
         let target = self.target.as_deref()?;
-        let target = target.find("://").map_or(target, |at| {
-            let rest = &target[at + 3..];
-            rest.find('/').map_or("/", |slash| &rest[slash..])
+        let target = target.find("://").map_or(target, |scheme_end| {
+            let authority_and_path = &target[scheme_end + 3..];
+            authority_and_path
+                .find('/')
+                .map_or("/", |path_start| &authority_and_path[path_start..])
         });
         Some(target.split(['?', '#']).next().unwrap_or(""))
     }
--- a/crates/traffic/src/recording/job_line.rs
+++ b/crates/traffic/src/recording/job_line.rs
@@ -48,9 +48,9 @@
 }
 
 fn retry_of(entry: RetryEntry, job_at: Micros) -> Retry {
-    let (after, status, took, evidence, confidence) = entry;
+    let (offset, status, took, evidence, confidence) = entry;
     Retry {
-        at: job_at + after,
+        at: job_at + offset,
         status,
         took,
         evidence,
--- a/crates/traffic/src/recording/reader.rs
+++ b/crates/traffic/src/recording/reader.rs
@@ -23,7 +23,7 @@
     /// Number of jobs read so far.
     jobs: u64,
     /// Time of the last job read.
-    last: Micros,
+    last_job_at: Micros,
     names: NameInterner,
     /// Whether the end line or an error was reached.
     finished: bool,
@@ -44,7 +44,7 @@
         if !(1..=VERSION).contains(&header.version) {
             return Err(RecordingError::Version(header.version));
         }
-        let (names, last) = (NameInterner::default(), Micros::MIN);
+        let (names, last_job_at) = (NameInterner::default(), Micros::MIN);
         Ok(Reader {
             input,
             header,
@@ -52,7 +52,7 @@
             text,
             line: 1,
             jobs: 0,
-            last,
+            last_job_at,
             names,
             finished: false,
         })
@@ -65,26 +65,26 @@
             return Err(RecordingError::Truncated { line: self.line });
         }
         self.line += 1;
-        let syntax = |source| RecordingError::Syntax {
+        let syntax_error = |source| RecordingError::Syntax {
             line: self.line,
             source,
         };
         if self.text.starts_with(b"{\"end\"") {
-            let last: Last = serde_json::from_slice(&self.text).map_err(syntax)?;
-            if last.end.jobs != self.jobs {
+            let last_line: Last = serde_json::from_slice(&self.text).map_err(syntax_error)?;
+            if last_line.end.jobs != self.jobs {
                 return Err(RecordingError::Counts {
-                    counted: last.end.jobs,
+                    counted: last_line.end.jobs,
                     found: self.jobs,
                 });
             }
-            self.end = Some(last.end);
+            self.end = Some(last_line.end);
             return Ok(None);
         }
-        let record: Line<'_> = serde_json::from_slice(&self.text).map_err(syntax)?;
-        if record.at < self.last {
+        let record: Line<'_> = serde_json::from_slice(&self.text).map_err(syntax_error)?;
+        if record.at < self.last_job_at {
             return Err(RecordingError::Unordered { line: self.line });
         }
-        (self.jobs, self.last) = (self.jobs + 1, record.at);
+        (self.jobs, self.last_job_at) = (self.jobs + 1, record.at);
         Ok(Some(record.into_job(&mut self.names)))
     }
 }
--- a/crates/traffic/src/recording/writer.rs
+++ b/crates/traffic/src/recording/writer.rs
@@ -14,7 +14,7 @@
     /// Counts so far, written as the end line.
     end: End,
     /// Time of the last job written.
-    last: Micros,
+    last_job_at: Micros,
 }
 
 impl<W: Write> Writer<W> {
@@ -29,7 +29,7 @@
             out,
             bytes: Vec::new(),
             end: End::default(),
-            last: Micros::MIN,
+            last_job_at: Micros::MIN,
         })
     }
 
@@ -38,12 +38,12 @@
     /// # Errors
     /// Writing fails, or the job is earlier than the last one written.
     pub fn write(&mut self, job: &Job) -> io::Result<()> {
-        if job.at < self.last {
+        if job.at < self.last_job_at {
             return Err(io::Error::other(
                 "a job is earlier than the one written before it; jobs must be written ordered by time",
             ));
         }
-        self.last = job.at;
+        self.last_job_at = job.at;
         self.bytes.clear();
         serde_json::to_writer(&mut self.bytes, &Line::new(job))?;
         self.bytes.push(b'\n');
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -65,9 +65,9 @@
     zone: TimeZone,
     minute: Option<CachedMinute>,
     /// Last time read.
-    last: Option<Micros>,
+    last_time: Option<Micros>,
     /// Whether an ambiguous or nonexistent local time was read since the last call of [`Self::was_dst`].
-    dst: bool,
+    was_dst: bool,
 }
 
 /// The minute and offset of a Common Log Format timestamp as text, and the start of that minute.
@@ -84,14 +84,14 @@
         Reader {
             zone,
             minute: None,
-            last: None,
-            dst: false,
+            last_time: None,
+            was_dst: false,
         }
     }
 
     /// Returns true if an ambiguous or nonexistent local time (at a daylight saving change) was read since the last call.
     pub fn was_dst(&mut self) -> bool {
-        std::mem::take(&mut self.dst)
+        std::mem::take(&mut self.was_dst)
     }
 
     /// Parses a timestamp.
@@ -114,7 +114,7 @@
         if !PLAUSIBLE_TIMES.contains(&time.at) {
             return Err(InvalidTimestamp);
         }
-        self.last = Some(time.at);
+        self.last_time = Some(time.at);
         Ok(time)
     }
 
@@ -171,25 +171,28 @@
     /// Converts a local time. An ambiguous time (clocks set back) is read as the first of its two instants, unless the log
     /// is past that already; a nonexistent time (clocks set forward) is read with the offset before the change.
     fn local(&mut self, local: DateTime) -> Result<Micros, InvalidTimestamp> {
-        let with = |offset: jiff::tz::Offset| {
+        let with_offset = |offset: jiff::tz::Offset| {
             offset
                 .to_timestamp(local)
                 .map(Timestamp::as_microsecond)
                 .map_err(|_| InvalidTimestamp)
         };
         match self.zone.to_ambiguous_timestamp(local).offset() {
-            AmbiguousOffset::Unambiguous { offset } => with(offset),
+            AmbiguousOffset::Unambiguous { offset } => with_offset(offset),
             AmbiguousOffset::Gap { before, .. } => {
-                self.dst = true;
-                with(before)
+                self.was_dst = true;
+                with_offset(before)
             }
             AmbiguousOffset::Fold { before, after } => {
-                self.dst = true;
-                let first = with(before)?;
-                if self.last.is_some_and(|last| first + MAX_STEP_BACK < last) {
-                    with(after)
+                self.was_dst = true;
+                let first_instant = with_offset(before)?;
+                if self
+                    .last_time
+                    .is_some_and(|last| first_instant + MAX_STEP_BACK < last)
+                {
+                    with_offset(after)
                 } else {
-                    Ok(first)
+                    Ok(first_instant)
                 }
             }
         }
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -54,9 +54,9 @@
     let expected =
         "1791636936.000000 | 192.0.2.1 anna | POST /reserve-stock/kit-7 | Some(200) None | ";
     assert_eq!(read("common", record), expected);
-    let more = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326 "-" "a \"b\" c""#;
+    let combined_record = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326 "-" "a \"b\" c""#;
     assert_eq!(
-        read("combined", more),
+        read("combined", combined_record),
         format!("{expected}user-agent=a \"b\" c")
     );
     assert_eq!(
@@ -65,29 +65,32 @@
         "the quoted fields are missing"
     );
     assert!(
-        read("common", more).starts_with(&expected[..60]),
+        read("common", combined_record).starts_with(&expected[..60]),
         "the rest of the line is read as the byte count, which is not used"
     );
 }
 
 #[test]
 fn malformed_records_are_rejected_with_a_reason() {
-    let of = |from: &str, to: &str| {
+    let outcome_of = |from: &str, to: &str| {
         let record =
             r#"192.0.2.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a/b HTTP/1.1" 200 2 "-" "-""#;
         assert!(record.contains(from));
         read("combined", &record.replace(from, to))
     };
-    assert_eq!(of("13:55:36", "13:65:36"), "BadTime");
-    assert_eq!(of("10/Oct/2026:13:55:36 +0100", "-"), "NoTime");
-    assert_eq!(of(" 200 ", " 2000 "), "BadStatus");
-    assert_eq!(of(" 200 ", " ok "), "BadStatus");
-    assert_eq!(of("POST /a/b HTTP/1.1", "\\x16\\x03\\x01"), "BadRequest");
-    assert_eq!(of("POST /a/b HTTP/1.1", "-"), "BadRequest");
-    assert_eq!(of(" \"-\" \"-\"", ""), "Malformed");
-    assert_eq!(of("[", ""), "Malformed");
+    assert_eq!(outcome_of("13:55:36", "13:65:36"), "BadTime");
+    assert_eq!(outcome_of("10/Oct/2026:13:55:36 +0100", "-"), "NoTime");
+    assert_eq!(outcome_of(" 200 ", " 2000 "), "BadStatus");
+    assert_eq!(outcome_of(" 200 ", " ok "), "BadStatus");
+    assert_eq!(
+        outcome_of("POST /a/b HTTP/1.1", "\\x16\\x03\\x01"),
+        "BadRequest"
+    );
+    assert_eq!(outcome_of("POST /a/b HTTP/1.1", "-"), "BadRequest");
+    assert_eq!(outcome_of(" \"-\" \"-\"", ""), "Malformed");
+    assert_eq!(outcome_of("[", ""), "Malformed");
     assert!(
-        of(" 200 ", " - ").contains("| None None |"),
+        outcome_of(" 200 ", " - ").contains("| None None |"),
         "a missing status is not an error: the client disconnected"
     );
 }
@@ -102,10 +105,10 @@
         r#"2001:db8::7 [1791636936.250000] "POST /a/b?x=1 HTTP/2.0" 503 - 1500 "gualtar" anna"#;
     let expected = "1791636936.250000 | 2001:db8::7 - | POST /a/b?x=1 | Some(503) Some(1500) | x-customer=gualtar cookie.who=anna";
     assert_eq!(read(format, record), expected);
-    let end = r#"apache:%h %{end:usec}t "%r" %s %{ms}T"#;
+    let end_format = r#"apache:%h %{end:usec}t "%r" %s %{ms}T"#;
     let record = r#"h 1791636936250000 "POST /a HTTP/1.1" 200 12"#;
     assert_eq!(
-        read(end, record),
+        read(end_format, record),
         "1791636936.250000 end | h - | POST /a | Some(200) Some(12000) | "
     );
 }
@@ -123,9 +126,10 @@
         expected,
         "of two times, the one with the finer resolution is used"
     );
-    let plain = r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
+    let plain_record =
+        r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
     assert_eq!(
-        read("nginx", plain),
+        read("nginx", plain_record),
         "1791636936.000000 end | 10.0.0.1 - | POST /a | Some(499) None | "
     );
 }
@@ -139,17 +143,17 @@
     let expected = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
                 user-agent=office/1.0 x-request-id=id-1 :authority=jobs.internal";
     assert_eq!(read("envoy", record), expected);
-    let custom = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
+    let custom_format = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
     let record = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
     assert_eq!(
-        read(custom, record),
+        read(custom_format, record),
         "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | "
     );
 }
 
 #[test]
 fn invalid_format_strings_are_rejected_with_the_reason() {
-    for (format, why) in [
+    for (format, expected_reason) in [
         ("apache:%h %r", "no time"),
         ("apache:%h %t %Q", "%Q is no directive"),
         ("apache:%t %{x", "never closed"),
@@ -163,7 +167,10 @@
         ("iis", "allowed are common"),
     ] {
         let error = LogFormat::named(format).expect_err(format);
-        assert!(error.to_string().contains(why), "{format}: {error}");
+        assert!(
+            error.to_string().contains(expected_reason),
+            "{format}: {error}"
+        );
     }
 }
 
@@ -213,10 +220,10 @@
 
 #[test]
 fn har_entries_of_an_aborted_session_are_decoded() {
-    let entry = |more: &str| {
+    let entry = |further_fields: &str| {
         format!(
             r#"{{"startedDateTime":"2026-10-10T13:55:36.250+01:00","request":{{"method":"POST","url":"https://x.org/a/b?q=1",
-            "headers":[{{"name":"X-Customer","value":"real"}}],"cookies":[{{"name":"who","value":"anna"}}],"bodySize":12}}{more}}}"#
+            "headers":[{{"name":"X-Customer","value":"real"}}],"cookies":[{{"name":"who","value":"anna"}}],"bodySize":12}}{further_fields}}}"#
         )
     };
     let text = format!(
@@ -231,7 +238,7 @@
             "1791636936.250000 | - - | POST https://x.org/a/b?q=1 | {status} | x-customer=real cookie.who=anna"
         ))
     };
-    let wanted = [
+    let expected_entries = [
         expected("Some(200) Some(12500)"),
         expected("None None"),
         expected("None None"),
@@ -239,10 +246,17 @@
         Err(Reason::NoTime),
     ];
     for size in [1, 2, 7, 64, 100_000] {
-        assert_eq!(entries(&text, size), wanted, "in chunks of {size} bytes");
+        assert_eq!(
+            entries(&text, size),
+            expected_entries,
+            "in chunks of {size} bytes"
+        );
     }
-    let truncated = &text[..text.len() - 5];
-    assert_eq!(entries(truncated, 64).last(), Some(&Err(Reason::Truncated)));
+    let truncated_text = &text[..text.len() - 5];
+    assert_eq!(
+        entries(truncated_text, 64).last(),
+        Some(&Err(Reason::Truncated))
+    );
     assert!(
         Splitter::default().finish().is_err(),
         "a document without an array of entries is an error"
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -60,19 +60,19 @@
     Ok((imported, jobs))
 }
 
-fn log_record(second: u32, path: &str, more: &str) -> String {
+fn log_record(second: u32, path: &str, status_and_size: &str) -> String {
     format!(
-        "192.0.2.7 - - [10/Oct/2026:13:{:02}:{:02} +0000] \"POST {path} HTTP/1.1\" {more}\n",
+        "192.0.2.7 - - [10/Oct/2026:13:{:02}:{:02} +0000] \"POST {path} HTTP/1.1\" {status_and_size}\n",
         second / 60,
         second % 60
     )
 }
 
-fn rejected(imported: &Imported, reason: Reason) -> u64 {
+fn rejected_count(imported: &Imported, reason: Reason) -> u64 {
     imported.tally.rejected.get(&reason).map_or(0, |c| c.count)
 }
 
-fn remarked(imported: &Imported, remark: Remark) -> u64 {
+fn remark_count(imported: &Imported, remark: Remark) -> u64 {
     imported.tally.remarks.get(&remark).map_or(0, |c| c.count)
 }
 
@@ -101,7 +101,7 @@
     let path = dir.file("access.log", &log_with_rejected_records());
     let (imported, jobs) =
         import_jobs(&[path], &options(Some("common"))).expect("the import succeeds");
-    let of = |reason| rejected(&imported, reason);
+    let count_of = |reason| rejected_count(&imported, reason);
     assert_eq!((imported.tally.read, imported.tally.taken), (11, 2));
     let reasons = [
         Reason::Blank,
@@ -114,14 +114,14 @@
         Reason::TooLong,
         Reason::Truncated,
     ];
-    assert_eq!(reasons.map(of), [1; 9], "{:?}", imported.tally);
+    assert_eq!(reasons.map(count_of), [1; 9], "{:?}", imported.tally);
     let example = &imported.tally.rejected[&Reason::Malformed].examples[0];
     assert_eq!(
         (example.file.as_str(), example.line, example.text.as_str()),
         ("access.log", 4, "this is no log line")
     );
-    assert_eq!(remarked(&imported, Remark::Latin1), 1);
-    assert_eq!(remarked(&imported, Remark::Spread), 2);
+    assert_eq!(remark_count(&imported, Remark::Latin1), 1);
+    assert_eq!(remark_count(&imported, Remark::Spread), 2);
     assert_eq!(
         (&*jobs[0].class, &*jobs[0].parish, jobs[0].subject.as_str()),
         ("reserve-stock", "real", "kit-1")
@@ -188,17 +188,17 @@
     ];
     let (imported, jobs) = import_jobs(&paths, &options(None)).expect("the import succeeds");
     assert_eq!(
-        (jobs.len(), rejected(&imported, Reason::Duplicate)),
+        (jobs.len(), rejected_count(&imported, Reason::Duplicate)),
         (180, 10)
     );
     let subjects: Vec<String> = (0..180).map(|s| format!("kit-{s}")).collect();
     assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()));
     // From a file that ends in the middle of compressed data, the records before that are imported.
-    let half = dir.file("half.gz", &gz[..gz.len() / 2]);
+    let half_file = dir.file("half.gz", &gz[..gz.len() / 2]);
     let (imported, jobs) =
-        import_jobs(&[half], &options(Some("common"))).expect("the import succeeds");
+        import_jobs(&[half_file], &options(Some("common"))).expect("the import succeeds");
     assert!(
-        !jobs.is_empty() && jobs.len() < 60 && rejected(&imported, Reason::Truncated) == 1,
+        !jobs.is_empty() && jobs.len() < 60 && rejected_count(&imported, Reason::Truncated) == 1,
         "{}",
         jobs.len()
     );
@@ -219,16 +219,16 @@
         jobs.iter().map(|j| &j.subject).eq(subjects.iter()),
         "the order of the log is kept"
     );
-    let begin = jobs[0].at / 1_000_000;
+    let first_second = jobs[0].at / 1_000_000;
     for (n, job) in jobs.iter().enumerate() {
         assert_eq!(
-            job.at / 1_000_000 - begin,
+            job.at / 1_000_000 - first_second,
             n as i64 / 100,
             "job {n} stays within its second"
         );
     }
-    let parts: Vec<i64> = jobs.iter().map(|j| j.at % 1_000_000).collect();
-    let mean = parts.iter().sum::<i64>() / 400;
+    let offsets: Vec<i64> = jobs.iter().map(|j| j.at % 1_000_000).collect();
+    let mean = offsets.iter().sum::<i64>() / 400;
     assert!((400_000..600_000).contains(&mean), "{mean}");
     assert_eq!(
         jobs,
@@ -237,13 +237,15 @@
             .1,
         "the same seed gives the same times"
     );
-    let other = Options {
+    let other_seed = Options {
         seed: 2,
         ..options(None)
     };
     assert_ne!(
         jobs,
-        import_jobs(&[path], &other).expect("the import succeeds").1
+        import_jobs(&[path], &other_seed)
+            .expect("the import succeeds")
+            .1
     );
 }
 
@@ -257,7 +259,7 @@
     let seconds: Vec<String> = jobs.iter().map(|j| j.subject.replace("kit-", "")).collect();
     assert_eq!(seconds, ["20", "21", "199", "200", "201", "3500"]);
     assert_eq!(
-        [Remark::ClockBack, Remark::Reordered, Remark::Gap].map(|r| remarked(&imported, r)),
+        [Remark::ClockBack, Remark::Reordered, Remark::Gap].map(|r| remark_count(&imported, r)),
         [1, 1, 1]
     );
 }
@@ -297,7 +299,7 @@
         &options(Some(HEADERS)),
     )
     .expect("the import succeeds");
-    let found: Vec<(String, Vec<Evidence>)> = jobs
+    let actual_jobs: Vec<(String, Vec<Evidence>)> = jobs
         .iter()
         .map(|j| {
             (
@@ -306,7 +308,7 @@
             )
         })
         .collect();
-    let wanted = [
+    let expected_jobs = [
         ("kit-1", vec![Evidence::Key, Evidence::Key]),
         ("kit-1", vec![]),
         ("kit-2", vec![Evidence::Marker]),
@@ -317,8 +319,8 @@
         ("kit-5", vec![]),
         ("kit-6", vec![]),
     ];
-    assert_eq!(found, wanted.map(|(s, t)| (s.to_string(), t)));
-    assert_eq!(remarked(&imported, Remark::Orphan), 1);
+    assert_eq!(actual_jobs, expected_jobs.map(|(s, t)| (s.to_string(), t)));
+    assert_eq!(remark_count(&imported, Remark::Orphan), 1);
     let confidence = |n: usize| jobs[n].retries[0].confidence;
     assert!(
         confidence(0) > 0.99
@@ -356,14 +358,14 @@
     assert_eq!((jobs[1].status, jobs[1].took), (0, None));
     assert_eq!(
         (
-            rejected(&imported, Reason::Truncated),
-            remarked(&imported, Remark::NoAnswer)
+            rejected_count(&imported, Reason::Truncated),
+            remark_count(&imported, Remark::NoAnswer)
         ),
         (1, 1)
     );
-    let none = dir.file("y.har", br#"{"log":{"pages":[]}}"#);
+    let document_without_entries = dir.file("y.har", br#"{"log":{"pages":[]}}"#);
     assert!(matches!(
-        import_jobs(&[none], &options(None)),
+        import_jobs(&[document_without_entries], &options(None)),
         Err(ImportError::Format { .. })
     ));
 }
@@ -396,7 +398,7 @@
         "two hours pass between 00:59:59 and 02:00:00: {minutes:?}"
     );
     assert!(minutes.iter().all(|m| *m >= 0));
-    assert_eq!(remarked(&imported, Remark::Dst), 4);
+    assert_eq!(remark_count(&imported, Remark::Dst), 4);
 }
 
 #[test]
@@ -473,8 +475,8 @@
         .expect("the import succeeds");
     assert_eq!(
         (
-            remarked(&imported, Remark::Latin1),
-            rejected(&imported, Reason::NotAJob)
+            remark_count(&imported, Remark::Latin1),
+            rejected_count(&imported, Reason::NotAJob)
         ),
         (0, 1)
     );
@@ -492,5 +494,5 @@
     };
     let (imported, jobs) =
         import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("the import succeeds");
-    assert_eq!((jobs.len(), remarked(&imported, Remark::Dst)), (1, 0));
+    assert_eq!((jobs.len(), remark_count(&imported, Remark::Dst)), (1, 0));
 }
--- a/crates/traffic/tests/networks.rs
+++ b/crates/traffic/tests/networks.rs
@@ -38,20 +38,20 @@
     trusted
         .add("10.0.0.0/8", "proxy")
         .expect("the network is valid");
-    let of = |peer: &str, forwarded| {
+    let client_of = |peer: &str, forwarded| {
         forwarded_client(ip(peer), forwarded, &trusted).map(|a| a.to_string())
     };
     assert_eq!(
-        of("192.0.2.1", Some("198.51.100.7")),
+        client_of("192.0.2.1", Some("198.51.100.7")),
         Ok("192.0.2.1".into())
     );
     assert_eq!(
-        of("10.0.0.1", Some("203.0.113.9, 198.51.100.7, 10.0.0.2")),
+        client_of("10.0.0.1", Some("203.0.113.9, 198.51.100.7, 10.0.0.2")),
         Ok("198.51.100.7".into())
     );
     assert_eq!(
-        of("10.0.0.1", Some("unknown, 10.0.0.2")),
+        client_of("10.0.0.1", Some("unknown, 10.0.0.2")),
         Err(ip("10.0.0.2"))
     );
-    assert_eq!(of("10.0.0.1", None), Ok("10.0.0.1".into()));
+    assert_eq!(client_of("10.0.0.1", None), Ok("10.0.0.1".into()));
 }
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -96,12 +96,12 @@
         let mut bytes: Vec<u8> = (0..24).flat_map(|n| {
             format!("192.0.2.{n} - - [10/Oct/2026:13:55:{n:02} +0000] \"POST /reserve/kit-{n} HTTP/1.1\" 200 5 \"-\" \"é\"\n").into_bytes()
         }).collect();
-        for (at, kind, byte) in edits {
-            let at = at % bytes.len();
+        for (position, kind, byte) in edits {
+            let position = position % bytes.len();
             match kind {
-                0 => bytes[at] = byte,
-                1 => _ = bytes.remove(at),
-                _ => bytes.insert(at, byte),
+                0 => bytes[position] = byte,
+                1 => _ = bytes.remove(position),
+                _ => bytes.insert(position, byte),
             }
         }
         let mut file = tempfile::NamedTempFile::new().expect("the file is created");
@@ -155,13 +155,13 @@
         jobs.iter().for_each(|j| writer.write(j).expect("the write succeeds"));
         let (bytes, end) = writer.finish(None).expect("the write succeeds");
         let mut reader = Reader::new(&bytes[..]).expect("the recording is valid");
-        let read: Vec<Job> = reader.by_ref().map(|j| j.expect("the line is a valid job")).collect();
+        let read_jobs: Vec<Job> = reader.by_ref().map(|j| j.expect("the line is a valid job")).collect();
         prop_assert_eq!(reader.end, Some(end));
-        prop_assert_eq!(&read, &jobs);
+        prop_assert_eq!(&read_jobs, &jobs);
         // Truncation at any length is detected.
         for length in (0..bytes.len() - 1).step_by(97) {
-            let read = Reader::new(&bytes[..length]).map(Iterator::collect::<Result<Vec<Job>, _>>);
-            prop_assert!(!matches!(read, Ok(Ok(_))), "truncated to {length} bytes without an error");
+            let read_jobs = Reader::new(&bytes[..length]).map(Iterator::collect::<Result<Vec<Job>, _>>);
+            prop_assert!(!matches!(read_jobs, Ok(Ok(_))), "truncated to {length} bytes without an error");
         }
     }
 
@@ -177,14 +177,14 @@
     #[test]
     fn sorting_with_spilled_runs_orders_by_time(jobs in proptest::collection::vec(job(), 0..60), capacity in 1usize..8) {
         let mut sorter = Sorter::new(capacity);
-        let mut wanted: Vec<(i64, u64)> = Vec::new();
+        let mut expected_order: Vec<(i64, u64)> = Vec::new();
         for (n, job) in jobs.into_iter().enumerate() {
-            wanted.push((job.at, n as u64));
+            expected_order.push((job.at, n as u64));
             sorter.push(attempt_of(job, n as u64, 1)).expect("the temporary file is accessible");
         }
-        wanted.sort_unstable();
-        let found: Vec<(i64, u64)> = sorter.finish().expect("the temporary file is accessible").map(|attempt| attempt.map(|a| (a.job.at, a.seq)).expect("the run is readable")).collect();
-        prop_assert_eq!(found, wanted);
+        expected_order.sort_unstable();
+        let actual_order: Vec<(i64, u64)> = sorter.finish().expect("the temporary file is accessible").map(|attempt| attempt.map(|a| (a.job.at, a.seq)).expect("the run is readable")).collect();
+        prop_assert_eq!(actual_order, expected_order);
     }
 
     #[test]
