--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -24,7 +24,7 @@
 }
 
 impl ClassStats {
-    /// The prior: until a run time is known, a job is assumed to run for its class's latency target.
+    /// Creates the initial statistics of a class: until a run time is known, a job is assumed to run for its class's latency target.
     pub(super) fn of(class: &Class) -> Self {
         ClassStats {
             run_time: Work::of(class.latency_target),
@@ -45,9 +45,9 @@
     const LATE: usize = 1;
 
     pub(super) fn new(class: usize, over_quota: bool, is_late: bool) -> Self {
-        let of_class =
+        let index_in_class =
             usize::from(over_quota) * Self::OVER_QUOTA + usize::from(is_late) * Self::LATE;
-        QueueIndex(class * Self::PER_CLASS + of_class)
+        QueueIndex(class * Self::PER_CLASS + index_in_class)
     }
 
     pub(super) fn class(self) -> usize {
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -11,19 +11,21 @@
     /// Time between the due time and the opening of the repetition by this scheduler: mainly time under a predecessor,
     /// whose causes are not known.
     Predecessor,
-    /// Waiting while steps ahead in the queue wait for capacity too.
+    /// The task waits while steps ahead of its own in the queue wait for capacity too.
     Queue,
-    /// Waiting for free capacity on any worker, with no step ahead that blocks this one.
+    /// The task waits for free capacity on any worker, and no step ahead in the queue blocks its step.
     Capacity,
-    /// Waiting for free capacity on the rack of the data or in one rack, or for all members of a gang to fit at once.
+    /// The task waits for free capacity on the rack of its data or in one rack, or until all members of its gang fit at
+    /// once.
     Locality,
-    /// Placed, waiting for the placement to be committed.
+    /// The run is placed and waits for the placement to be committed.
     Commit,
-    /// Start order sent, not yet listed by the worker.
+    /// The start order was sent, but no report has listed the run as running yet.
     Dispatch,
     /// Run time of runs that were done in the end, without the part due to `Remote`.
     Run,
-    /// Part of such run time that is due to running remote from the data, or as a gang in several racks.
+    /// Additional run time of such runs because they were on another rack than their data, or because their gang was
+    /// spread over several racks.
     Remote,
     /// Time of runs that failed.
     Failed,
@@ -102,9 +104,9 @@
     }
 
     /// Adds time spent on one cause, in milliseconds.
-    pub(crate) fn add(&mut self, cause: Cause, ms: u64) {
+    pub(crate) fn add(&mut self, cause: Cause, duration_ms: u64) {
         let sum = &mut self.0[cause as usize];
-        *sum = sum.saturating_add(u32::try_from(ms).unwrap_or(u32::MAX));
+        *sum = sum.saturating_add(u32::try_from(duration_ms).unwrap_or(u32::MAX));
     }
 
     /// Adds another breakdown, cause by cause.
@@ -114,23 +116,23 @@
         }
     }
 
-    /// Adds a wait of `ms`, divided among the causes in proportion to `observed`. If nothing was observed, it counts as
-    /// waiting in the queue.
-    pub(crate) fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
-        let total_ms = observed.total_ms();
+    /// Adds a wait of `wait_ms`, divided among the causes in proportion to `observed_waits`. If that is empty, the whole
+    /// wait counts as waiting in the queue.
+    pub(crate) fn add_wait(&mut self, wait_ms: u64, observed_waits: &LatencyBreakdown) {
+        let total_ms = observed_waits.total_ms();
         if total_ms == 0 {
-            return self.add(Cause::Queue, ms);
+            return self.add(Cause::Queue, wait_ms);
         }
         for cause in Cause::ALL {
-            self.add(cause, ms * observed.get(cause) / total_ms);
+            self.add(cause, wait_ms * observed_waits.get(cause) / total_ms);
         }
     }
 }
 
 impl Display for LatencyBreakdown {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let spent = Cause::ALL.into_iter().filter(|cause| self.get(*cause) > 0);
-        for (number, cause) in spent.enumerate() {
+        let nonzero_causes = Cause::ALL.into_iter().filter(|cause| self.get(*cause) > 0);
+        for (number, cause) in nonzero_causes.enumerate() {
             let space = if number > 0 { " " } else { "" };
             write!(formatter, "{space}{}={}", cause.name(), self.get(cause))?;
         }
