--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -69,7 +69,7 @@
     ensure!(
         json.trim_start().starts_with('{'),
         UnreadableSnafu {
-            problem: "the text does not begin with `{`: a JSON object is expected"
+            problem: "an object is expected"
         }
     );
     let config = config_document::read(json)?;
--- a/crates/protocol/src/config_error.rs
+++ b/crates/protocol/src/config_error.rs
@@ -8,7 +8,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
     /// The text is not UTF-8.
-    #[snafu(display("the configuration is not valid UTF-8: {source}"))]
+    #[snafu(display("the configuration is no UTF-8: {source}"))]
     NotUtf8 {
         /// The decoder's error, with the position of the first invalid byte.
         source: std::str::Utf8Error,
@@ -34,7 +34,7 @@
         problem: String,
     },
     /// Two items of one list have the same name.
-    #[snafu(display("`{field}` has `{name}` twice: each name must be unique"))]
+    #[snafu(display("`{field}` has `{name}` twice: each name is allowed once"))]
     DuplicateName {
         /// Field of the configuration that contains the list.
         field: String,
@@ -53,7 +53,7 @@
     },
     /// Two routes match the same requests.
     #[snafu(display(
-        "routes `{first}` and `{second}` share host `{host}` and prefix `{path_prefix}`: each pair must be unique"
+        "routes `{first}` and `{second}` share host `{host}` and prefix `{path_prefix}`: one route is allowed there"
     ))]
     DuplicatePrefix {
         /// Name of one of the two routes.
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -30,6 +30,7 @@
 
 /// The part of an item that identifies it; all other fields are ignored.
 #[derive(Deserialize)]
+#[serde(rename = "Named")]
 struct ItemName {
     name: String,
 }
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -26,7 +26,7 @@
         source: JsonError,
     },
     /// `spec` is longer than [`SPEC_BYTES_MAX`].
-    #[snafu(display("`spec` has {bytes} bytes: at most {SPEC_BYTES_MAX} are allowed"))]
+    #[snafu(display("`spec` has {bytes} bytes: {SPEC_BYTES_MAX} are allowed"))]
     LongSpec {
         /// Length of `spec`, in bytes.
         bytes: usize,
@@ -38,22 +38,20 @@
         steps: usize,
     },
     /// A step has no tasks.
-    #[snafu(display("`stages[{step}].count` is 0: a number above 0 is expected"))]
+    #[snafu(display("`stages[{step}].count` is 0: at least 1 is allowed"))]
     NoTasks {
         /// Index of the step, from 0.
         step: usize,
     },
     /// The steps have more than [`TASKS_MAX`] tasks in total.
-    #[snafu(display(
-        "the steps in `stages` have {tasks} tasks in total: at most {TASKS_MAX} are allowed"
-    ))]
+    #[snafu(display("the steps have {tasks} tasks: {TASKS_MAX} are allowed"))]
     TaskCount {
         /// Total number of tasks found.
         tasks: u64,
     },
     /// A step depends on itself or on a later step.
     #[snafu(display(
-        "`stages[{step}].depends_on` names step {dependency}: only steps before step {step} are allowed"
+        "`stages[{step}].depends_on` names step {dependency}: only steps before {step} are allowed"
     ))]
     Dependency {
         /// Index of the step, from 0.
@@ -73,7 +71,7 @@
     },
     /// There are more than [`REPEATS_MAX`] repetitions, or the due time of the last one exceeds 64 bits.
     #[snafu(display(
-        "`repeat_count` is {repeats}: at most {REPEATS_MAX} is allowed, and the last due time in milliseconds must fit 64 bits"
+        "`repeat_count` is {repeats}: at most {REPEATS_MAX} are allowed, all due within 64 bits"
     ))]
     Repeats {
         /// Number of repetitions found.
