--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -15,7 +15,7 @@
 use indigofold_protocol::config::Config;
 use indigofold_protocol::config_check::{CheckedConfig, ConfigError, parse_config, parse_if_match};
 use indigofold_protocol::config_patch::apply_patch;
-use indigofold_protocol::order_digest::OrderDigest;
+use indigofold_protocol::request_digest::RequestDigest;
 use indigofold_replication::RowChange;
 use remembered::RememberedChanges;
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -265,7 +265,7 @@
         // The digest is taken of the parsed version, so that quotes and spaces in the header do not change it.
         let if_match = base_version.to_string();
         let digest =
-            OrderDigest::of(change.method.name(), Some(&if_match), &change.body).to_string();
+            RequestDigest::of(change.method.name(), Some(&if_match), &change.body).to_string();
         if let Some(version) = self.remembered.version_of(&digest) {
             return Err(ChangeResponse::Accepted { version });
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -29,6 +29,6 @@
 pub mod job_check;
 mod json;
 pub mod member;
-pub mod order_digest;
+pub mod request_digest;
 pub mod task;
 pub mod worker;
--- a/crates/protocol/tests/config.rs
+++ b/crates/protocol/tests/config.rs
@@ -2,7 +2,7 @@
 
 use indigofold_protocol::config_check::{CheckedConfig, ConfigError, parse_config, parse_if_match};
 use indigofold_protocol::config_patch::apply_patch;
-use indigofold_protocol::order_digest::OrderDigest;
+use indigofold_protocol::request_digest::RequestDigest;
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -278,14 +278,14 @@
 
 #[test]
 fn digests_differ_for_each_field_of_a_request() {
-    let order = OrderDigest::of("PUT", Some("5"), b"{}");
-    assert_eq!(order, OrderDigest::of("PUT", Some(" 5 "), b"{}"));
+    let order = RequestDigest::of("PUT", Some("5"), b"{}");
+    assert_eq!(order, RequestDigest::of("PUT", Some(" 5 "), b"{}"));
     assert_eq!(order.to_string(), "dbbea33d2fa5eac9dfcaf9c1e5d456f4");
     for other in [
-        OrderDigest::of("PATCH", Some("5"), b"{}"),
-        OrderDigest::of("PUT", Some("6"), b"{}"),
-        OrderDigest::of("PUT", None, b"{}"),
-        OrderDigest::of("PUT", Some("5{"), b"}"),
+        RequestDigest::of("PATCH", Some("5"), b"{}"),
+        RequestDigest::of("PUT", Some("6"), b"{}"),
+        RequestDigest::of("PUT", None, b"{}"),
+        RequestDigest::of("PUT", Some("5{"), b"}"),
     ] {
         assert_ne!(order, other);
     }
