--- a/crates/control-plane/src/inspection/capacity.rs
+++ b/crates/control-plane/src/inspection/capacity.rs
@@ -1,7 +1,7 @@
 //! Free capacity of the workers that node agents report, and the reason why tasks of a step wait.
 
 use super::rows::StepRow;
-use indigofold_protocol::inspection::{ServiceStatus, Wait};
+use indigofold_protocol::inspection::{ServiceStatus, WaitReason};
 use indigofold_protocol::internal::InstanceReport;
 use indigofold_protocol::job::{Resources, Step};
 use indigofold_protocol::worker::WorkerState;
@@ -81,30 +81,36 @@
 
     /// Returns why tasks of a step wait, as far as the capacity tells. The step must have no unfinished dependencies.
     /// `instances` is the list that the runs in `row` index.
-    pub fn wait(&self, service: &str, step: &Step, row: &StepRow, instances: &[String]) -> Wait {
+    pub fn wait(
+        &self,
+        service: &str,
+        step: &Step,
+        row: &StepRow,
+        instances: &[String],
+    ) -> WaitReason {
         let ready = self
             .workers
             .iter()
             .filter(|worker| worker.is_ready_for(service));
         let ready: Vec<&WorkerProfile> = ready.copied().collect();
         if ready.is_empty() {
-            return Wait::NoWorkers;
+            return WaitReason::NoWorkers;
         }
         let fitting: Vec<&WorkerProfile> = ready
             .into_iter()
             .filter(|worker| worker.fits(step))
             .collect();
         if fitting.is_empty() {
-            return Wait::NoWorkerFits;
+            return WaitReason::NoWorkerFits;
         }
         let needed = if step.gang { u64::from(step.count) } else { 1 };
         let slots = |worker: &&WorkerProfile| self.free_slots(worker, step, row, instances);
         match fitting.iter().map(slots).sum() {
-            slots if slots < needed => Wait::InsufficientCapacity {
+            slots if slots < needed => WaitReason::InsufficientCapacity {
                 fitting_tasks: slots,
                 needed,
             },
-            slots => Wait::Deferred {
+            slots => WaitReason::Deferred {
                 fitting_tasks: slots,
             },
         }
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -5,7 +5,7 @@
 use super::table_summary::JobRecord;
 use indigofold_protocol::config::Config;
 use indigofold_protocol::inspection::{
-    JobInspection, RUNS_LISTED_MAX, RunInspection, STEPS_LISTED_MAX, StepInspection, Wait,
+    JobInspection, RUNS_LISTED_MAX, RunInspection, STEPS_LISTED_MAX, StepInspection, WaitReason,
 };
 use indigofold_protocol::job::Step;
 
@@ -97,7 +97,7 @@
         let wait = if self.progress.end.is_some() {
             None
         } else if !unfinished.is_empty() {
-            Some(Wait::Dependency(unfinished))
+            Some(WaitReason::Dependency(unfinished))
         } else if tasks.waiting == 0 {
             None
         } else {
--- a/crates/control-plane/tests/control_plane/inspection.rs
+++ b/crates/control-plane/tests/control_plane/inspection.rs
@@ -1,7 +1,7 @@
 //! Tests of the reports on jobs and workers, from rows that a real scheduler has written.
 
 use crate::test_head::{FIRST_AGENT, JOB, TestHead};
-use indigofold_protocol::inspection::{EndedJobs, RunInspection, TaskCounts, Wait};
+use indigofold_protocol::inspection::{EndedJobs, RunInspection, TaskCounts, WaitReason};
 use indigofold_protocol::internal::{ClientOperation, FinishedRun, InstanceReport};
 use indigofold_protocol::job::{JobSpec, JobState, Resources, Step};
 use indigofold_protocol::task::{RunId, TaskName};
@@ -58,12 +58,12 @@
         ..TaskCounts::default()
     };
     assert_eq!(report.steps[0].tasks, first_step);
-    let no_capacity = Wait::InsufficientCapacity {
+    let no_capacity = WaitReason::InsufficientCapacity {
         fitting_tasks: 0,
         needed: 1,
     };
     assert_eq!(report.steps[0].wait, Some(no_capacity));
-    assert_eq!(report.steps[1].wait, Some(Wait::Dependency(vec![0])));
+    assert_eq!(report.steps[1].wait, Some(WaitReason::Dependency(vec![0])));
     let summary = test.summary();
     let queue = &summary.queues["r"];
     let both_steps = TaskCounts {
@@ -81,10 +81,10 @@
 }
 
 #[rstest]
-#[case::label(Step { requirements: "gold".to_owned(), ..step(1, 100) }, Wait::NoWorkerFits)]
-#[case::size(step(1, 5_000), Wait::NoWorkerFits)]
-#[case::gang(Step { gang: true, ..step(3, 2_000) }, Wait::InsufficientCapacity { fitting_tasks: 2, needed: 3 })]
-fn reports_why_a_step_waits(#[case] waiting_step: Step, #[case] reason: Wait) {
+#[case::label(Step { requirements: "gold".to_owned(), ..step(1, 100) }, WaitReason::NoWorkerFits)]
+#[case::size(step(1, 5_000), WaitReason::NoWorkerFits)]
+#[case::gang(Step { gang: true, ..step(3, 2_000) }, WaitReason::InsufficientCapacity { fitting_tasks: 2, needed: 3 })]
+fn reports_why_a_step_waits(#[case] waiting_step: Step, #[case] reason: WaitReason) {
     let mut test = TestHead::with_worker();
     test.submit(job(vec![waiting_step]));
     let report = test.inspect();
@@ -98,7 +98,7 @@
 fn step_waits_for_workers_if_there_are_none() {
     let mut test = TestHead::new();
     test.submit(job(vec![step(1, 100)]));
-    assert_eq!(test.inspect().steps[0].wait, Some(Wait::NoWorkers));
+    assert_eq!(test.inspect().steps[0].wait, Some(WaitReason::NoWorkers));
 }
 
 #[test]
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -3,7 +3,7 @@
 use crate::query::{self, MemberError, MemberResponse, NoAnswerSnafu, QueryError, RedirectedSnafu};
 use crate::report::Report;
 use indigofold_protocol::inspection::{
-    InspectionAnswer, JobInspection, Question, StepInspection, TaskCounts, Wait,
+    InspectionAnswer, JobInspection, Question, StepInspection, TaskCounts, WaitReason,
 };
 use indigofold_protocol::task::JobId;
 use serde_json::Value;
@@ -150,14 +150,14 @@
 }
 
 /// Describes why a step waits.
-pub fn wait_text(wait: &Wait) -> String {
+pub fn wait_text(wait: &WaitReason) -> String {
     match wait {
-        Wait::Dependency(steps) => format!("for steps {steps:?}"),
-        Wait::NoWorkers => "no worker of the service is connected and takes work".to_owned(),
-        Wait::NoWorkerFits => {
+        WaitReason::Dependency(steps) => format!("for steps {steps:?}"),
+        WaitReason::NoWorkers => "no worker of the service is connected and takes work".to_owned(),
+        WaitReason::NoWorkerFits => {
             "no worker of the service has the label and the capacity that a task needs".to_owned()
         }
-        Wait::InsufficientCapacity {
+        WaitReason::InsufficientCapacity {
             fitting_tasks,
             needed,
         } => {
@@ -165,7 +165,7 @@
                 "no room: {fitting_tasks} tasks would fit beside the running ones, {needed} are needed at once"
             )
         }
-        Wait::Deferred { fitting_tasks } => format!(
+        WaitReason::Deferred { fitting_tasks } => format!(
             "held back although {fitting_tasks} tasks would fit: capacity is reserved for another step, workers are \
              suspected or paused, or the step waits for its rack"
         ),
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use job::{
-    JobInspection, RUNS_LISTED_MAX, RunInspection, STEPS_LISTED_MAX, StepInspection, Wait,
+    JobInspection, RUNS_LISTED_MAX, RunInspection, STEPS_LISTED_MAX, StepInspection, WaitReason,
 };
 pub use status::{
     EndedJobs, MemberStatus, PeerStatus, QueueStatus, ServiceStatus, StoredState, ViewStatus,
--- a/crates/protocol/src/inspection/job.rs
+++ b/crates/protocol/src/inspection/job.rs
@@ -46,7 +46,7 @@
     /// Outstanding runs of the step's tasks, [`RUNS_LISTED_MAX`] at most.
     pub runs: Vec<RunInspection>,
     /// Reason why tasks of the step wait; `None` if none wait.
-    pub wait: Option<Wait>,
+    pub wait: Option<WaitReason>,
 }
 
 /// An outstanding run.
@@ -63,7 +63,7 @@
 /// Reason why tasks of a step wait.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wait {
+pub enum WaitReason {
     /// The step depends on these earlier steps, which are not done.
     Dependency(Vec<u32>),
     /// The service has no connected worker that accepts new work.
