--- a/crates/control-plane/src/core_member/inspect.rs
+++ b/crates/control-plane/src/core_member/inspect.rs
@@ -8,7 +8,7 @@
 use crate::sessions::ConnectionId;
 use crate::storage_thread::StorageRequest;
 use indigofold_protocol::inspection::{
-    InspectionAnswer, InspectionCall, InspectionReply, MemberStatus, PeerStatus, Question,
+    InspectionAnswer, InspectionCall, InspectionQuery, InspectionReply, MemberStatus, PeerStatus,
     StoredState, ViewStatus, WorkStatus,
 };
 use indigofold_protocol::internal::{Frame, ProcessKind};
@@ -33,8 +33,8 @@
             return self.send_inspection(connection, call.call, answer);
         }
         let job = match call.question {
-            Question::Status => None,
-            Question::Job(id) => Some(id),
+            InspectionQuery::Status => None,
+            InspectionQuery::Job(id) => Some(id),
         };
         let summary = self.inspections.open(OpenQuestion { connection, call });
         self.outputs
@@ -74,15 +74,15 @@
     fn answer(
         &self,
         clocks: Clocks,
-        question: Question,
+        question: InspectionQuery,
         summary: &TableSummary,
     ) -> InspectionAnswer {
         match question {
-            Question::Status => {
+            InspectionQuery::Status => {
                 let work = Some(self.work_status(summary));
                 InspectionAnswer::Status(Box::new(self.member_status(clocks, work)))
             }
-            Question::Job(_) => {
+            InspectionQuery::Job(_) => {
                 let head = self.head_role.leading();
                 let config = head.and_then(|head| head.config()).map(|config| &**config);
                 let capacity = self.capacity(summary);
@@ -94,12 +94,12 @@
     }
 
     /// Returns the answer of a member that is not the acting head.
-    fn answer_without_rows(&self, clocks: Clocks, question: Question) -> InspectionAnswer {
+    fn answer_without_rows(&self, clocks: Clocks, question: InspectionQuery) -> InspectionAnswer {
         match question {
-            Question::Status => {
+            InspectionQuery::Status => {
                 InspectionAnswer::Status(Box::new(self.member_status(clocks, None)))
             }
-            Question::Job(_) => InspectionAnswer::NotHead {
+            InspectionQuery::Job(_) => InspectionAnswer::NotHead {
                 head: self.replica.head(clocks.steady_ms),
             },
         }
--- a/crates/control-plane/tests/control_plane/core_member.rs
+++ b/crates/control-plane/tests/control_plane/core_member.rs
@@ -6,7 +6,7 @@
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
 use indigofold_control_plane::storage_thread::StorageResponse;
-use indigofold_protocol::inspection::{InspectionAnswer, Question};
+use indigofold_protocol::inspection::{InspectionAnswer, InspectionQuery};
 use indigofold_protocol::internal::{
     AgentOrders, ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind,
 };
@@ -236,15 +236,15 @@
         ),
         other => panic!("expected a status, got {other:?}"),
     };
-    test.inspect(1, Question::Status);
+    test.inspect(1, InspectionQuery::Status);
     assert!(
         test.take_answers().is_empty(),
         "answered before the rows were read"
     );
     test.deliver_storage();
     let first = test.take_answers();
-    test.inspect(2, Question::Status);
-    test.inspect(3, Question::Job(JobId(7)));
+    test.inspect(2, InspectionQuery::Status);
+    test.inspect(3, InspectionQuery::Job(JobId(7)));
     test.deliver_storage();
     let later = test.take_answers();
     assert_eq!(
@@ -258,8 +258,8 @@
 #[test]
 fn follower_reports_only_its_own_status() {
     let mut test = TestNode::start(&[1, 2, 3]);
-    test.inspect(1, Question::Status);
-    test.inspect(2, Question::Job(JobId(7)));
+    test.inspect(1, InspectionQuery::Status);
+    test.inspect(2, InspectionQuery::Job(JobId(7)));
     let answers = test.take_answers();
     let InspectionAnswer::Status(status) = &answers[0].1 else {
         panic!("expected a status, got {:?}", answers[0].1)
@@ -271,7 +271,7 @@
 #[test]
 fn open_questions_are_limited() {
     let mut test = TestNode::acting();
-    (0..6).for_each(|call| test.inspect(call, Question::Status));
+    (0..6).for_each(|call| test.inspect(call, InspectionQuery::Status));
     let rejected = test.take_answers();
     assert!(
         rejected
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -7,7 +7,7 @@
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
 use indigofold_control_plane::storage_thread::{StorageResponse, execute};
-use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
+use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, InspectionQuery};
 use indigofold_protocol::internal::{
     ClientCall, ClientOperation, ClientOutcome, Frame, MemberAddress, ProcessKind, Welcome,
 };
@@ -191,7 +191,7 @@
     }
 
     /// Sends a question on the command line tool's connection.
-    pub(crate) fn inspect(&mut self, call: u64, question: Question) {
+    pub(crate) fn inspect(&mut self, call: u64, question: InspectionQuery) {
         self.receive(TOOL, Frame::Inspect(InspectionCall { call, question }));
     }
 
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -3,7 +3,7 @@
 use crate::query::{self, MemberError, MemberResponse, NoAnswerSnafu, QueryError, RedirectedSnafu};
 use crate::report::Report;
 use indigofold_protocol::inspection::{
-    InspectionAnswer, JobInspection, Question, StepInspection, TaskCounts, WaitReason,
+    InspectionAnswer, InspectionQuery, JobInspection, StepInspection, TaskCounts, WaitReason,
 };
 use indigofold_protocol::task::JobId;
 use serde_json::Value;
@@ -48,7 +48,7 @@
     let mut addresses = addresses;
     let mut redirections = 0;
     loop {
-        let responses = query::query_all(&addresses, Question::Job(id)).await;
+        let responses = query::query_all(&addresses, InspectionQuery::Job(id)).await;
         addresses = match evaluate(responses) {
             Lookup::Answered(job) => return Ok(job),
             Lookup::Failed(failures) => return NoAnswerSnafu { failures }.fail(),
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -1,7 +1,7 @@
 //! Sends inspection queries to core members, on their internal port.
 
 use indigofold_net::{NetError, framed, runtime};
-use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
+use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, InspectionQuery};
 use indigofold_protocol::internal::Frame;
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
 }
 
 /// Queries several members concurrently. The responses are in the order of the addresses.
-pub async fn query_all(addresses: &[SocketAddr], question: Question) -> Vec<MemberResponse> {
+pub async fn query_all(addresses: &[SocketAddr], question: InspectionQuery) -> Vec<MemberResponse> {
     let tasks: Vec<_> = addresses
         .iter()
         .map(|&address| runtime::spawn_scoped(query(address, question)))
@@ -115,7 +115,10 @@
 }
 
 /// Queries one member over a new connection.
-async fn query(address: SocketAddr, question: Question) -> Result<InspectionAnswer, MemberError> {
+async fn query(
+    address: SocketAddr,
+    question: InspectionQuery,
+) -> Result<InspectionAnswer, MemberError> {
     let connection = framed::connect(address, CONNECT_TIMEOUT)
         .await
         .context(ConnectionSnafu)?;
--- a/crates/ctl/src/status/gather.rs
+++ b/crates/ctl/src/status/gather.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{ClusterStatus, UnresponsiveMember};
 use crate::query::{self, MemberResponse, QueryError};
-use indigofold_protocol::inspection::{InspectionAnswer, Question};
+use indigofold_protocol::inspection::{InspectionAnswer, InspectionQuery};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -12,14 +12,14 @@
 /// Queries the members at these internal addresses, then the peers that they name. Fails if none of the former
 /// answers.
 pub(super) async fn gather(addresses: Vec<SocketAddr>) -> Result<ClusterStatus, QueryError> {
-    let responses = query::query_all(&addresses, Question::Status).await;
+    let responses = query::query_all(&addresses, InspectionQuery::Status).await;
     if responses.iter().all(|response| response.result.is_err()) {
         return Err(query::no_answer(responses));
     }
     let mut status = ClusterStatus::default();
     collect(&mut status, responses);
     let discovered = discovered(&status, &addresses);
-    let responses = query::query_all(&discovered, Question::Status).await;
+    let responses = query::query_all(&discovered, InspectionQuery::Status).await;
     collect(&mut status, responses);
     status.members.sort_by_key(|member| member.address.internal);
     Ok(status)
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -26,12 +26,12 @@
     /// Number chosen by the tool, for matching the reply.
     pub call: u64,
     /// The query to answer.
-    pub question: Question,
+    pub question: InspectionQuery,
 }
 
 /// A query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum InspectionQuery {
     /// Status of the member; the acting head adds the status of queues and services.
     Status,
     /// Status of a job, and why its steps wait. Only the acting head can answer.
@@ -47,7 +47,7 @@
     pub answer: InspectionAnswer,
 }
 
-/// The answer to a [`Question`].
+/// The answer to a [`InspectionQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum InspectionAnswer {
     /// The member's status.
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -2,7 +2,7 @@
 
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::inspection::{
-    InspectionAnswer, InspectionCall, InspectionReply, Question,
+    InspectionAnswer, InspectionCall, InspectionQuery, InspectionReply,
 };
 use indigofold_protocol::internal::{
     AgentOrders, AgentReport, ClientCall, ClientOperation, ClientOutcome, ClientReply, FinishedRun,
@@ -312,10 +312,10 @@
         })
 }
 
-fn question() -> impl Strategy<Value = Question> {
+fn question() -> impl Strategy<Value = InspectionQuery> {
     prop_oneof![
-        Just(Question::Status),
-        any::<u64>().prop_map(|job| Question::Job(JobId(job)))
+        Just(InspectionQuery::Status),
+        any::<u64>().prop_map(|job| InspectionQuery::Job(JobId(job)))
     ]
 }
 
