--- a/crates/protocol/src/codec/agent.rs
+++ b/crates/protocol/src/codec/agent.rs
@@ -141,7 +141,7 @@
         RunEnd::Stopped => wire::RunEnd::Stopped,
         RunEnd::Expired => wire::RunEnd::Expired,
         RunEnd::Broken => wire::RunEnd::Broken,
-        RunEnd::Alone => wire::RunEnd::Alone,
+        RunEnd::GangIncomplete => wire::RunEnd::Alone,
         RunEnd::Refused => wire::RunEnd::Refused,
     });
     to.set_checkpoint(finished.checkpoint.as_str());
@@ -158,7 +158,7 @@
             wire::RunEnd::Stopped => RunEnd::Stopped,
             wire::RunEnd::Expired => RunEnd::Expired,
             wire::RunEnd::Broken => RunEnd::Broken,
-            wire::RunEnd::Alone => RunEnd::Alone,
+            wire::RunEnd::Alone => RunEnd::GangIncomplete,
             wire::RunEnd::Refused => RunEnd::Refused,
         },
         checkpoint: read_text(from.get_checkpoint())?,
--- a/crates/protocol/src/worker/run_end.rs
+++ b/crates/protocol/src/worker/run_end.rs
@@ -18,7 +18,8 @@
     /// Another member of the run's gang ended.
     Broken,
     /// The other members of the run's gang did not start in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// The worker rejected the start; the run never began.
     Refused,
 }
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -267,7 +267,7 @@
         RunEnd::Stopped,
         RunEnd::Expired,
         RunEnd::Broken,
-        RunEnd::Alone,
+        RunEnd::GangIncomplete,
         RunEnd::Refused,
     ]);
     (any::<u64>(), run(), end, text()).prop_map(|(number, run, end, checkpoint)| FinishedRun {
--- a/crates/protocol/tests/wire_examples.rs
+++ b/crates/protocol/tests/wire_examples.rs
@@ -115,7 +115,7 @@
 #[case("stopped", RunEnd::Stopped)]
 #[case("lapsed", RunEnd::Expired)]
 #[case("broken", RunEnd::Broken)]
-#[case("alone", RunEnd::Alone)]
+#[case("alone", RunEnd::GangIncomplete)]
 #[case("refused", RunEnd::Refused)]
 fn every_run_end_is_encoded_unchanged(#[case] name: &str, #[case] end: RunEnd) {
     let entry = json!([1, "00000000000000aa.0.0.0", 1, name, ""]);
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -120,7 +120,7 @@
                 "{} waited for the other gang members in vain, without any fault",
                 run.task
             );
-            self.nodes[node].end(run, RunEnd::Alone, String::new());
+            self.nodes[node].end(run, RunEnd::GangIncomplete, String::new());
         }
     }
 
