--- a/crates/protocol/src/codec/agent.rs
+++ b/crates/protocol/src/codec/agent.rs
@@ -140,7 +140,7 @@
         RunEnd::Failed => wire::RunEnd::Failed,
         RunEnd::Stopped => wire::RunEnd::Stopped,
         RunEnd::Expired => wire::RunEnd::Expired,
-        RunEnd::Broken => wire::RunEnd::Broken,
+        RunEnd::GangMemberEnded => wire::RunEnd::Broken,
         RunEnd::GangIncomplete => wire::RunEnd::Alone,
         RunEnd::Refused => wire::RunEnd::Refused,
     });
@@ -157,7 +157,7 @@
             wire::RunEnd::Failed => RunEnd::Failed,
             wire::RunEnd::Stopped => RunEnd::Stopped,
             wire::RunEnd::Expired => RunEnd::Expired,
-            wire::RunEnd::Broken => RunEnd::Broken,
+            wire::RunEnd::Broken => RunEnd::GangMemberEnded,
             wire::RunEnd::Alone => RunEnd::GangIncomplete,
             wire::RunEnd::Refused => RunEnd::Refused,
         },
--- a/crates/protocol/src/worker/run_end.rs
+++ b/crates/protocol/src/worker/run_end.rs
@@ -16,7 +16,8 @@
     #[serde(rename = "lapsed")]
     Expired,
     /// Another member of the run's gang ended.
-    Broken,
+    #[serde(rename = "broken")]
+    GangMemberEnded,
     /// The other members of the run's gang did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -266,7 +266,7 @@
         RunEnd::Failed,
         RunEnd::Stopped,
         RunEnd::Expired,
-        RunEnd::Broken,
+        RunEnd::GangMemberEnded,
         RunEnd::GangIncomplete,
         RunEnd::Refused,
     ]);
--- a/crates/protocol/tests/wire_examples.rs
+++ b/crates/protocol/tests/wire_examples.rs
@@ -114,7 +114,7 @@
 #[case("failed", RunEnd::Failed)]
 #[case("stopped", RunEnd::Stopped)]
 #[case("lapsed", RunEnd::Expired)]
-#[case("broken", RunEnd::Broken)]
+#[case("broken", RunEnd::GangMemberEnded)]
 #[case("alone", RunEnd::GangIncomplete)]
 #[case("refused", RunEnd::Refused)]
 fn every_run_end_is_encoded_unchanged(#[case] name: &str, #[case] end: RunEnd) {
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -134,7 +134,7 @@
     fn break_gang(&mut self, run: RunId, gang: bool) {
         if gang {
             for (node, member) in self.gang_members(run) {
-                self.nodes[node].end(member, RunEnd::Broken, String::new());
+                self.nodes[node].end(member, RunEnd::GangMemberEnded, String::new());
             }
         }
     }
