--- a/crates/net/src/framed.rs
+++ b/crates/net/src/framed.rs
@@ -5,7 +5,7 @@
 mod sender;
 
 pub use reader::FrameReader;
-pub use sender::{Closed, FrameSender, QUEUE_BYTES_MAX};
+pub use sender::{ConnectionClosed, FrameSender, QUEUE_BYTES_MAX};
 
 use crate::error::{AcceptSnafu, ListenSnafu, NetError};
 use crate::socket;
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -20,7 +20,7 @@
 /// The error of [`FrameSender::send`]: the frame was not queued because the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the connection is closed"))]
-pub struct Closed;
+pub struct ConnectionClosed;
 
 /// Sends frames. Clones share the connection.
 pub struct FrameSender {
@@ -68,9 +68,9 @@
     ///
     /// # Errors
     ///
-    /// [`Closed`] if the connection is closed, possibly by this call.
-    pub fn send(&self, frame: &Frame) -> Result<(), Closed> {
-        ensure!(!self.link.is_closed(), ClosedSnafu);
+    /// [`ConnectionClosed`] if the connection is closed, possibly by this call.
+    pub fn send(&self, frame: &Frame) -> Result<(), ConnectionClosed> {
+        ensure!(!self.link.is_closed(), ConnectionClosedSnafu);
         let bytes = codec::encode(frame);
         let queued_bytes = self.queued_bytes();
         if queued_bytes + bytes.len() > QUEUE_BYTES_MAX {
@@ -80,7 +80,7 @@
                 bytes.len()
             );
             self.link.close();
-            return ClosedSnafu.fail();
+            return ConnectionClosedSnafu.fail();
         }
         self.link.enqueue(bytes);
         Ok(())
