--- a/crates/ctl/src/check_settings.rs
+++ b/crates/ctl/src/check_settings.rs
@@ -3,7 +3,7 @@
 
 use crate::files::{self, FileError};
 use crate::report::Report;
-use indigofold_settings::{MachineClass, Serves, Settings};
+use indigofold_settings::{CallerKind, MachineClass, Settings};
 use serde_json::json;
 use std::path::Path;
 
@@ -47,7 +47,7 @@
 
 /// An optional field that is required if the role serves certain callers.
 struct Requirement {
-    serves: Serves,
+    serves: CallerKind,
     field: &'static str,
     present: bool,
 }
@@ -62,18 +62,22 @@
     let control_plane = addresses.control_plane.is_some();
     [
         requirement(
-            Serves::Edge,
+            CallerKind::Edge,
             "bind_addrs.frontend",
             addresses.frontend.is_some(),
         ),
         requirement(
-            Serves::Edge,
+            CallerKind::Edge,
             "bind_addrs.readiness",
             addresses.readiness.is_some(),
         ),
-        requirement(Serves::Side, "bind_addrs.control_plane", control_plane),
-        requirement(Serves::Control, "bind_addrs.control_plane", control_plane),
-        requirement(Serves::Control, "data_dir", settings.data_dir.is_some()),
+        requirement(CallerKind::Side, "bind_addrs.control_plane", control_plane),
+        requirement(
+            CallerKind::Control,
+            "bind_addrs.control_plane",
+            control_plane,
+        ),
+        requirement(CallerKind::Control, "data_dir", settings.data_dir.is_some()),
     ]
 }
 
@@ -94,7 +98,7 @@
         findings
             .push("`seed_nodes` is empty: the addresses of core members are expected".to_owned());
     }
-    if settings.serves(Serves::Side) && settings.machine_class != MachineClass::Side {
+    if settings.serves(CallerKind::Side) && settings.machine_class != MachineClass::Side {
         findings.push("`serves` has \"side\": `machine_class` must be \"side\" too".to_owned());
     }
     findings
--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -12,7 +12,7 @@
 
 pub use error::ServeError;
 
-use indigofold_settings::{Serves, Settings};
+use indigofold_settings::{CallerKind, Settings};
 
 /// Runs the role that the settings name until the platform stops it.
 ///
@@ -21,9 +21,9 @@
 /// The settings name neither the edge nor the node agent or lack an address, or a socket or the signals cannot be set
 /// up.
 pub async fn serve(settings: Settings) -> Result<(), ServeError> {
-    if settings.serves(Serves::Edge) {
+    if settings.serves(CallerKind::Edge) {
         edge_server::serve(settings).await
-    } else if settings.serves(Serves::Side) {
+    } else if settings.serves(CallerKind::Side) {
         agent_server::serve(settings).await
     } else {
         error::NoRoleSnafu {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,5 +15,5 @@
 pub use bounds::Bounds;
 pub use error::SettingsError;
 pub use limits::{FaultTolerance, Limits};
-pub use role::{MachineClass, OrderDelivery, Serves};
+pub use role::{CallerKind, MachineClass, OrderDelivery};
 pub use settings::{CONFIG_VARIABLE, Settings};
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -17,7 +17,7 @@
 /// Callers outside the cluster that a role serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Serves {
+pub enum CallerKind {
     /// Clients.
     Edge,
     /// The worker on the same machine.
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -5,7 +5,7 @@
 use crate::error::{NoVariableSnafu, NotAllowedSnafu, ParseSnafu, ReadSnafu, SettingsError};
 use crate::lenient;
 use crate::limits::{FaultTolerance, Limits};
-use crate::role::{MachineClass, OrderDelivery, Serves};
+use crate::role::{CallerKind, MachineClass, OrderDelivery};
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     pub machine_class: MachineClass,
     /// Callers outside the cluster that the role serves.
     #[serde(default)]
-    pub serves: Vec<Serves>,
+    pub serves: Vec<CallerKind>,
     /// Address of the machine.
     pub ip: IpAddr,
     /// Zone of the machine.
@@ -139,7 +139,7 @@
     }
 
     /// Whether the role serves this kind of caller.
-    pub fn serves(&self, callers: Serves) -> bool {
+    pub fn serves(&self, callers: CallerKind) -> bool {
         self.serves.contains(&callers)
     }
 
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -2,8 +2,8 @@
 //! encoded again.
 
 use indigofold_settings::{
-    BindAddresses, Bounds, FaultTolerance, Limits, MachineClass, OrderDelivery, PortRange, Serves,
-    Settings,
+    BindAddresses, Bounds, CallerKind, FaultTolerance, Limits, MachineClass, OrderDelivery,
+    PortRange, Settings,
 };
 use toml::{Table, Value};
 
@@ -106,7 +106,7 @@
         node_name: text("core-north-2"),
         role: text("keeper"),
         machine_class: MachineClass::Core,
-        serves: vec![Serves::Control, Serves::Side],
+        serves: vec![CallerKind::Control, CallerKind::Side],
         ip: [10, 9, 0, 2].into(),
         zone: text("north"),
         region: text("coast"),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,8 @@
 //! Decoding of valid settings files, and errors for invalid ones.
 
-use indigofold_settings::{Bounds, MachineClass, OrderDelivery, Serves, Settings, SettingsError};
+use indigofold_settings::{
+    Bounds, CallerKind, MachineClass, OrderDelivery, Settings, SettingsError,
+};
 use rstest::rstest;
 use std::path::Path;
 
@@ -85,7 +87,7 @@
         (settings.node_name.as_str(), settings.machine_class),
         ("edge-sala-frio-1", MachineClass::Edge)
     );
-    assert!(settings.serves(Serves::Edge) && !settings.serves(Serves::Control));
+    assert!(settings.serves(CallerKind::Edge) && !settings.serves(CallerKind::Control));
     assert!(settings.bootstrap && !settings.counts_for_quorum);
     assert_eq!(
         (settings.heartbeat_ms, settings.commands),
