--- a/crates/indigofold/src/front/platform/clients/parsing.rs
+++ b/crates/indigofold/src/front/platform/clients/parsing.rs
@@ -4,7 +4,7 @@
 use crate::config::{self, JobReport, Site};
 use crate::front::platform::Platform;
 use crate::net::buffer::Buffer;
-use crate::net::http::{Frame, Head, Kind};
+use crate::net::http::{Frame, Head, MessageKind};
 use indigofold_core::metrics::End;
 use std::io::Write;
 
@@ -45,7 +45,7 @@
 
 /// Parses a complete request.
 pub(super) fn parse(front: &Platform, buffer: &Buffer, frame: &Frame) -> ParsedRequest {
-    let Some((head, body)) = frame.read(buffer, Kind::Request) else {
+    let Some((head, body)) = frame.read(buffer, MessageKind::Request) else {
         return ParsedRequest::Bad(400, "a header is no text\n");
     };
     let path = head.target.split('?').next().unwrap_or("");
--- a/crates/indigofold/src/front/platform/clients/reading.rs
+++ b/crates/indigofold/src/front/platform/clients/reading.rs
@@ -2,7 +2,7 @@
 
 use crate::front::platform::Platform;
 use crate::net::buffer::Buffer;
-use crate::net::http::{self, Bad, Frame, Kind, Progress};
+use crate::net::http::{self, Frame, MessageError, MessageKind, Progress};
 use crate::net::set::Rank;
 use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, within};
 use std::time::Instant;
@@ -59,11 +59,11 @@
 pub(super) async fn receive(
     link: &Link,
     buffer: &mut Buffer,
-) -> Result<Result<Frame, Bad>, Reason> {
+) -> Result<Result<Frame, MessageError>, Reason> {
     let mut continue_sent = false;
     loop {
         if !buffer.filled().is_empty() {
-            match http::parse_message(buffer, Kind::Request) {
+            match http::parse_message(buffer, MessageKind::Request) {
                 Err(bad) => return Ok(Err(bad)),
                 Ok(Progress::Complete(frame)) => return Ok(Ok(frame)),
                 Ok(Progress::Partial(true)) if !continue_sent => {
@@ -76,7 +76,7 @@
         }
         let empty = buffer.filled().is_empty();
         if buffer.spare().is_empty() {
-            return Ok(Err(Bad::BodyTooLarge)); // the chunk framing alone has filled the buffer
+            return Ok(Err(MessageError::BodyTooLarge)); // the chunk framing alone has filled the buffer
         }
         match link.read(buffer).await {
             Ok(0) if empty => return Err(Reason::PeerClosed),
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -3,7 +3,7 @@
 use super::schedule::DIAL_TIMEOUT;
 use crate::config::MembershipUpdate;
 use crate::front::platform::Platform;
-use crate::net::http::{self, Kind, Progress};
+use crate::net::http::{self, MessageKind, Progress};
 use crate::net::{Link, Reason, within};
 use async_io::Timer;
 use std::io::Write;
@@ -94,8 +94,8 @@
             link.send(buffer.filled(), DIAL_TIMEOUT).await?;
             buffer.clear();
             loop {
-                if let Progress::Complete(frame) =
-                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                if let Progress::Complete(frame) = http::parse_message(buffer, MessageKind::Answer)
+                    .map_err(|_| Reason::Malformed)?
                 {
                     return Ok(frame);
                 }
@@ -107,7 +107,9 @@
             }
         };
         let frame = within(limit, Reason::Unanswered, exchange).await?;
-        let (head, body) = frame.read(buffer, Kind::Answer).ok_or(Reason::Malformed)?;
+        let (head, body) = frame
+            .read(buffer, MessageKind::Answer)
+            .ok_or(Reason::Malformed)?;
         if head.status != 200 {
             return Err(Reason::Rejected);
         }
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -3,7 +3,7 @@
 use super::{JobRecord, Platform};
 use crate::api::{Load, Status, WorkerId};
 use crate::net::buffer::Buffer;
-use crate::net::http::{Head, Kind};
+use crate::net::http::{Head, MessageKind};
 use crate::net::{Reason, within};
 use async_channel::Receiver;
 use async_executor::Task;
@@ -178,7 +178,7 @@
         let exchange = within(PROBE_TIMEOUT, Reason::Unanswered, exchange).await;
         let (status, load) = match &exchange {
             Ok(frame) => {
-                let read = frame.read(&buffer, Kind::Answer);
+                let read = frame.read(&buffer, MessageKind::Answer);
                 let load = read
                     .as_ref()
                     .and_then(|(_, body)| self.front.site.borrow().load(body));
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -3,7 +3,7 @@
 use super::super::Platform;
 use crate::ids::WorkerId;
 use crate::net::buffer::Buffer;
-use crate::net::http::{self, Head, Kind, Progress};
+use crate::net::http::{self, Head, MessageKind, Progress};
 use crate::net::{Link, Reason, within};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -161,7 +161,8 @@
                 head.status
             }) {
                 let Progress::Complete(mut frame) =
-                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                    http::parse_message(buffer, MessageKind::Answer)
+                        .map_err(|_| Reason::Malformed)?
                 else {
                     break;
                 };
@@ -181,7 +182,7 @@
                 buffer.consume(frame.total); // an interim answer
             }
             if deadline.is_none() {
-                http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?;
+                http::parse_message(buffer, MessageKind::Answer).map_err(|_| Reason::Malformed)?;
             }
         }
     }
--- a/crates/indigofold/src/net/http.rs
+++ b/crates/indigofold/src/net/http.rs
@@ -10,7 +10,7 @@
 
 /// The reason why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MessageError {
     /// The head or the framing is malformed.
     Malformed,
     /// The body is larger than [`MAX_BODY_BYTES`].
@@ -21,14 +21,14 @@
     Coding,
 }
 
-impl Bad {
+impl MessageError {
     /// The HTTP status with which to answer the message.
     pub fn status(self) -> u16 {
         match self {
-            Bad::Malformed => 400,
-            Bad::BodyTooLarge => 413,
-            Bad::HeadTooLarge => 431,
-            Bad::Coding => 501,
+            MessageError::Malformed => 400,
+            MessageError::BodyTooLarge => 413,
+            MessageError::HeadTooLarge => 431,
+            MessageError::Coding => 501,
         }
     }
 }
@@ -89,7 +89,7 @@
 
 /// The kind of message to parse.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A message from a client to a server.
     Request,
     /// A message from a server to a client.
@@ -115,17 +115,17 @@
 }
 
 /// Parses the head at the start of the bytes; `None` while it is incomplete.
-fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<ParsedHead>, Bad> {
+fn parse_head(bytes: &[u8], kind: MessageKind) -> Result<Option<ParsedHead>, MessageError> {
     let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let (length, version, bodiless, headers) = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let mut request = httparse::Request::new(&mut slots);
             let Status::Complete(length) = request.parse(bytes).map_err(head_error)? else {
                 return Ok(None);
             };
             (length, request.version, false, framing(request.headers)?)
         }
-        Kind::Answer => {
+        MessageKind::Answer => {
             let mut answer = httparse::Response::new(&mut slots);
             let Status::Complete(length) = answer.parse(bytes).map_err(head_error)? else {
                 return Ok(None);
@@ -143,17 +143,17 @@
 }
 
 /// Rejects a head that is too large, or that two parsers could interpret differently.
-fn check_head(head: &ParsedHead, bytes: &[u8]) -> Result<(), Bad> {
+fn check_head(head: &ParsedHead, bytes: &[u8]) -> Result<(), MessageError> {
     if head.length > MAX_HEAD_BYTES {
-        return Err(Bad::HeadTooLarge);
+        return Err(MessageError::HeadTooLarge);
     }
     // A bare LF ends a line for some parsers only, so it could hide a message from others (request smuggling).
     let bare_line_end = |(n, b): (usize, &u8)| *b == b'\n' && (n == 0 || bytes[n - 1] != b'\r');
     if bytes[..head.length].iter().enumerate().any(bare_line_end) {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
     if head.http_1_0 && head.framing.chunked {
-        return Err(Bad::Malformed); // HTTP/1.0 has no chunked coding
+        return Err(MessageError::Malformed); // HTTP/1.0 has no chunked coding
     }
     Ok(())
 }
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// The message is malformed, too large or uses an unsupported coding.
-pub fn parse_message(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
+pub fn parse_message(buffer: &mut Buffer, kind: MessageKind) -> Result<Progress, MessageError> {
     let bytes = buffer.filled();
     let Some(parsed) = parse_head(bytes, kind)? else {
         return incomplete_head(bytes);
@@ -197,7 +197,7 @@
         framing.length.unwrap_or(0)
     };
     if length > MAX_BODY_BYTES {
-        return Err(Bad::BodyTooLarge);
+        return Err(MessageError::BodyTooLarge);
     }
     if bytes.len() < head + length {
         return Ok(Progress::Partial(framing.expects_continue));
@@ -220,47 +220,47 @@
         sized: false,
     };
     frame
-        .read(buffer, Kind::Answer)
+        .read(buffer, MessageKind::Answer)
         .map(|(head, _)| inspect(&head))
 }
 
-fn head_error(error: httparse::Error) -> Bad {
+fn head_error(error: httparse::Error) -> MessageError {
     if error == httparse::Error::TooManyHeaders {
-        Bad::HeadTooLarge
+        MessageError::HeadTooLarge
     } else {
-        Bad::Malformed
+        MessageError::Malformed
     }
 }
 
-fn incomplete_head(bytes: &[u8]) -> Result<Progress, Bad> {
+fn incomplete_head(bytes: &[u8]) -> Result<Progress, MessageError> {
     if bytes.len() > MAX_HEAD_BYTES {
-        Err(Bad::HeadTooLarge)
+        Err(MessageError::HeadTooLarge)
     } else {
         Ok(Progress::Partial(false))
     }
 }
 
-fn framing(headers: &[Header<'_>]) -> Result<Framing, Bad> {
+fn framing(headers: &[Header<'_>]) -> Result<Framing, MessageError> {
     let mut found = Framing::default();
     for header in headers {
         let value = std::str::from_utf8(header.value)
-            .map_err(|_| Bad::Malformed)?
+            .map_err(|_| MessageError::Malformed)?
             .trim();
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
             let length = digits
                 .then(|| value.parse::<usize>().unwrap_or(usize::MAX))
-                .ok_or(Bad::Malformed)?;
+                .ok_or(MessageError::Malformed)?;
             // With two lengths, two parsers could see different messages.
             if found.length.replace(length).is_some() {
-                return Err(Bad::Malformed);
+                return Err(MessageError::Malformed);
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") {
-                return Err(Bad::Coding);
+                return Err(MessageError::Coding);
             }
             if std::mem::replace(&mut found.chunked, true) {
-                return Err(Bad::Malformed);
+                return Err(MessageError::Malformed);
             }
         } else if header.name.eq_ignore_ascii_case("connection") {
             found.close |= value
@@ -271,7 +271,7 @@
         }
     }
     if found.chunked && found.length.is_some() {
-        Err(Bad::Malformed)
+        Err(MessageError::Malformed)
     } else {
         Ok(found)
     }
@@ -282,17 +282,17 @@
     clippy::type_complexity,
     reason = "used by one caller, which takes both apart at once"
 )]
-fn chunks(bytes: &[u8]) -> Result<Option<(Vec<Range<usize>>, usize)>, Bad> {
+fn chunks(bytes: &[u8]) -> Result<Option<(Vec<Range<usize>>, usize)>, MessageError> {
     let (mut at, mut sum, mut body_chunks) = (0, 0, Vec::new());
     loop {
         let (size_line, size) =
-            match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Bad::Malformed)? {
+            match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| MessageError::Malformed)? {
                 Status::Partial => return Ok(None),
                 Status::Complete(found) => found,
             };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
         if size > MAX_BODY_BYTES - sum {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
         at += size_line;
         if size == 0 {
@@ -302,7 +302,7 @@
             return Ok(None);
         }
         if &bytes[at + size..at + size + 2] != b"\r\n" {
-            return Err(Bad::Malformed);
+            return Err(MessageError::Malformed);
         }
         body_chunks.push(at..at + size);
         (at, sum) = (at + size + 2, sum + size);
@@ -321,16 +321,16 @@
 
 impl Frame {
     /// Returns the head and the body of the message; `None` if a header is not UTF-8.
-    pub fn read<'a>(&self, buffer: &'a Buffer, kind: Kind) -> Option<(Head<'a>, &'a [u8])> {
+    pub fn read<'a>(&self, buffer: &'a Buffer, kind: MessageKind) -> Option<(Head<'a>, &'a [u8])> {
         let mut slots = [EMPTY_HEADER; MAX_HEADERS];
         let bytes = &buffer.filled()[..self.head];
         let (method, target, status, found): (&str, &str, u16, &[Header<'a>]) = match kind {
-            Kind::Request => {
+            MessageKind::Request => {
                 let mut request = httparse::Request::new(&mut slots);
                 request.parse(bytes).ok()?;
                 (request.method?, request.path?, 0, request.headers)
             }
-            Kind::Answer => {
+            MessageKind::Answer => {
                 let mut answer = httparse::Response::new(&mut slots);
                 answer.parse(bytes).ok()?;
                 ("", "", answer.code?, answer.headers)
