--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -8,7 +8,7 @@
 use super::workers::{AttemptState, Order, Stage};
 use super::{JobRecord, Platform};
 use crate::config::JobReport;
-use crate::net::set::{Direction, Seat};
+use crate::net::set::{ConnectionPermit, Direction};
 use crate::net::{Link, log};
 use crate::transferred_job::TransferredJob;
 use async_channel::{Receiver, SendError, Sender, bounded};
@@ -168,10 +168,10 @@
             migrating.trace.clone(),
         );
         let (stream, encoded) = (link.into_stream(), postcard::to_allocvec(&migrating));
-        let (Some((stream, seat)), Ok(encoded)) = (stream, encoded) else {
+        let (Some((stream, permit)), Ok(encoded)) = (stream, encoded) else {
             return;
         };
-        drop(seat);
+        drop(permit);
         self.net.set.resize(-1);
         let message = HandoverMessage::Job(encoded, stream);
         let sent = match target {
@@ -209,14 +209,14 @@
 
     /// Resumes a job that the other process has released. Once this returns, reports on the job are recognized.
     pub async fn adopt(self: &Rc<Self>, encoded: &[u8], stream: TcpStream) {
-        let seat = self.seat_inherited();
+        let permit = self.permit_inherited();
         let migrating = postcard::from_bytes::<MigratingJob>(encoded).map_err(|e| e.to_string());
         let migrating = migrating.and_then(|migrating| match migrating.job.check() {
             Ok(()) => Ok(migrating),
             Err(invalid) => Err(invalid.to_string()),
         });
         let (migrating, link) = match (migrating, Async::new(stream)) {
-            (Ok(migrating), Ok(stream)) => (migrating, Link::new(stream, seat)),
+            (Ok(migrating), Ok(stream)) => (migrating, Link::new(stream, permit)),
             (Err(why), _) => {
                 return log(format_args!("handover: a job cannot be taken over: {why}"));
             }
@@ -238,13 +238,13 @@
     }
 
     /// Reserves a place for a connection taken over from the other process, raising the limit if necessary.
-    fn seat_inherited(&self) -> Seat {
+    fn permit_inherited(&self) -> ConnectionPermit {
         let set = &self.net.set;
         set.resize(1);
         loop {
-            let seat = set.seat(Direction::Inbound);
-            match seat.or_else(|| set.seat(Direction::Outbound)) {
-                Some(seat) => return seat,
+            let permit = set.reserve(Direction::Inbound);
+            match permit.or_else(|| set.reserve(Direction::Outbound)) {
+                Some(permit) => return permit,
                 None => set.resize(1),
             }
         }
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -11,7 +11,7 @@
 use buffer::{Buffer, Pool};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future::yield_now};
 pub use log::log;
-use set::{Direction, Rank, Seat, Set};
+use set::{ConnectionPermit, Direction, Rank, Set};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{self, ErrorKind};
@@ -106,26 +106,26 @@
         loop {
             // Nothing is reserved or evicted before a connection is waiting.
             let _ = listener.readable().await;
-            let seat = match self.set.seat(Direction::Inbound) {
-                Some(seat) => Some((seat, false)),
+            let permit = match self.set.reserve(Direction::Inbound) {
+                Some(permit) => Some((permit, false)),
                 None => {
                     let evicted = self.set.evict_one();
                     self.set
-                        .seat(Direction::InboundExtra)
-                        .map(|seat| (seat, !evicted))
+                        .reserve(Direction::InboundExtra)
+                        .map(|permit| (permit, !evicted))
                 }
             };
-            let Some((seat, extra)) = seat else {
+            let Some((permit, extra)) = permit else {
                 Timer::after(RETRY_INTERVAL).await;
                 continue;
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.set.evict_if_crowded(Instant::now());
-                    return Link::new(stream, seat).as_extra(extra);
+                    return Link::new(stream, permit).as_extra(extra);
                 }
                 Err(error) => {
-                    drop(seat);
+                    drop(permit);
                     log(format_args!("accept failed: {error}"));
                     if !matches!(
                         error.kind(),
@@ -250,7 +250,7 @@
     ///
     /// [`Reason::NoCapacity`] if no descriptor is free, [`Reason::Refused`] or [`Reason::DialTimeout`].
     pub async fn dial(&self, to: SocketAddr, limit: Duration) -> Result<Link, Reason> {
-        let Some(seat) = self.set.seat(Direction::Outbound) else {
+        let Some(permit) = self.set.reserve(Direction::Outbound) else {
             self.set.evict_one();
             return Err(Reason::NoCapacity);
         };
@@ -262,7 +262,7 @@
         let stream = dial
             .or(async { after(limit, Reason::DialTimeout).await })
             .await?;
-        Ok(Link::new(stream, seat))
+        Ok(Link::new(stream, permit))
     }
 }
 
@@ -370,18 +370,18 @@
     stream: Async<TcpStream>,
     extra: bool,
     overrun: Cell<bool>,
-    _seat: Seat,
+    _permit: ConnectionPermit,
 }
 
 impl Link {
     /// Wraps a stream and disables Nagle's algorithm on it.
-    pub fn new(stream: Async<TcpStream>, seat: Seat) -> Self {
+    pub fn new(stream: Async<TcpStream>, permit: ConnectionPermit) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Link {
             stream,
             extra: false,
             overrun: Cell::new(false),
-            _seat: seat,
+            _permit: permit,
         }
     }
 
@@ -511,8 +511,8 @@
 
     /// Returns the stream, so that it can be passed to another process, and its place in the set, which is released when the
     /// second value is dropped.
-    pub fn into_stream(self) -> Option<(TcpStream, Seat)> {
-        Some((self.stream.into_inner().ok()?, self._seat))
+    pub fn into_stream(self) -> Option<(TcpStream, ConnectionPermit)> {
+        Some((self.stream.into_inner().ok()?, self._permit))
     }
 
     /// Writes the log line of a connection that has ended and closes it.
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -69,7 +69,7 @@
 }
 
 /// A connection's place in the set, released when dropped.
-pub struct Seat(Rc<Set>, Direction);
+pub struct ConnectionPermit(Rc<Set>, Direction);
 
 /// A connection's registration for eviction, withdrawn when dropped.
 pub struct EvictionHandle {
@@ -129,7 +129,7 @@
     }
 
     /// Reserves a place for a connection; `None` if the limit is reached.
-    pub fn seat(self: &Rc<Self>, direction: Direction) -> Option<Seat> {
+    pub fn reserve(self: &Rc<Self>, direction: Direction) -> Option<ConnectionPermit> {
         if !self.has_capacity(direction) {
             return None;
         }
@@ -137,7 +137,7 @@
         if direction != Direction::Outbound {
             self.accepted.set(self.accepted.get() + 1);
         }
-        Some(Seat(self.clone(), direction))
+        Some(ConnectionPermit(self.clone(), direction))
     }
 
     /// Evicts the connection of the lowest rank, up to [`Rank::Used`]. Returns false if there is none.
@@ -246,7 +246,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         if self.1 != Direction::Outbound {
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -34,11 +34,11 @@
 #[test]
 fn idle_connections_are_evicted_before_clients_reach_their_limit() {
     let set = Set::new(120);
-    let seats: Vec<Seat> = (0..30)
-        .filter_map(|_| set.seat(Direction::Inbound))
+    let permits: Vec<ConnectionPermit> = (0..30)
+        .filter_map(|_| set.reserve(Direction::Inbound))
         .collect();
-    let _dialled: Vec<Seat> = (0..30)
-        .filter_map(|_| set.seat(Direction::Outbound))
+    let _dialled: Vec<ConnectionPermit> = (0..30)
+        .filter_map(|_| set.reserve(Direction::Outbound))
         .collect();
     let offers = [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once]
         .map(|rank| set.register_evictable(rank, false));
@@ -46,11 +46,11 @@
     let later = Instant::now() + IDLE_BEFORE_EVICTION;
     set.evict_if_crowded(later);
     assert_eq!(
-        (seats.len(), evicted()),
+        (permits.len(), evicted()),
         (30, [0; 4]),
         "30 of 40 connections must not cause an eviction"
     );
-    let more = set.seat(Direction::Inbound);
+    let more = set.reserve(Direction::Inbound);
     // Guards against a job that is lost because the connection is closed right after the answer to the previous job.
     set.evict_if_crowded(Instant::now());
     assert_eq!(
