--- a/crates/indigofold/src/front/platform/clients/reading.rs
+++ b/crates/indigofold/src/front/platform/clients/reading.rs
@@ -32,7 +32,7 @@
         1 => {
             front
                 .net
-                .unless_evicted_or_drained(Rank::Once, client, readable)
+                .unless_evicted_or_drained(Rank::AnsweredOnce, client, readable)
                 .await
         }
         _ => {
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -182,7 +182,7 @@
         work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         let registration = self.set.register_evictable(rank, client);
-        if matches!(rank, Rank::Once | Rank::Used) {
+        if matches!(rank, Rank::AnsweredOnce | Rank::Used) {
             self.set.evict_if_crowded(Instant::now());
         }
         let evicted = async {
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -48,7 +48,7 @@
     /// The first message is not complete.
     PartialMessage,
     /// The connection is idle after its first answer, and may never be used again.
-    Once,
+    AnsweredOnce,
     /// The connection was just accepted, and its first message may be on its way.
     Fresh,
     /// The connection has been used repeatedly, and is idle between two messages.
@@ -174,7 +174,7 @@
                 .filter(|(_, o)| now.saturating_duration_since(o.since) >= IDLE_BEFORE_EVICTION)
                 .map(|(key, _)| *key)
         };
-        let chosen = idle_long_enough(Rank::Once).or_else(|| idle_long_enough(Rank::Used));
+        let chosen = idle_long_enough(Rank::AnsweredOnce).or_else(|| idle_long_enough(Rank::Used));
         let _ = chosen
             .and_then(|key| evictable.remove(&key))
             .map(|entry| entry.evict.try_send(()));
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -10,9 +10,9 @@
     let ranks = [
         Rank::Used,
         Rank::Fresh,
-        Rank::Once,
+        Rank::AnsweredOnce,
         Rank::PartialMessage,
-        Rank::Once,
+        Rank::AnsweredOnce,
         Rank::NothingSent,
     ];
     let offers = ranks.map(|rank| set.register_evictable(rank, false));
@@ -40,7 +40,7 @@
     let _dialled: Vec<ConnectionPermit> = (0..30)
         .filter_map(|_| set.reserve(Direction::Outbound))
         .collect();
-    let offers = [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once]
+    let offers = [Rank::Fresh, Rank::Used, Rank::Used, Rank::AnsweredOnce]
         .map(|rank| set.register_evictable(rank, false));
     let evicted = || offers.each_ref().map(|o| o.evicted.len());
     let later = Instant::now() + IDLE_BEFORE_EVICTION;
