--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -98,7 +98,7 @@
         let (net, accepted) = (&self.front.net, Instant::now());
         let first = async {
             net.first_unless_evicted(accepted, Rank::NothingSent, async {
-                self.link.readable().await.map_err(|_| Reason::Broke)
+                self.link.readable().await.map_err(|_| Reason::IoError)
             })
             .await?;
             let mut buffer = net.buffer().await?;
@@ -217,7 +217,7 @@
 
     /// Waits for the next command. A client's connection may be evicted, a job worker's only when the program ends.
     async fn idle(&self) -> Result<(), Reason> {
-        let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
+        let readable = async { self.link.readable().await.map_err(|_| Reason::IoError) };
         let stopping = |r| {
             if r == Reason::Evicted && self.front.lifecycle.stopping.get() {
                 Reason::Stopping
@@ -451,7 +451,7 @@
             Ok(()) => {
                 let write = self.link.write(message.filled(), &mut bytes_written);
                 within(WRITE_TIMEOUT, Reason::Stalled, async {
-                    write.await.map_err(|_| Reason::Broke)
+                    write.await.map_err(|_| Reason::IoError)
                 })
                 .await
             }
@@ -477,7 +477,7 @@
             Ok(0) if empty => return Err(Reason::PeerClosed),
             Ok(0) => return Err(Reason::PeerLeft),
             Ok(_) => {}
-            Err(_) => return Err(Reason::Broke),
+            Err(_) => return Err(Reason::IoError),
         }
     }
 }
--- a/crates/indigofold/src/front/platform/clients/reading.rs
+++ b/crates/indigofold/src/front/platform/clients/reading.rs
@@ -16,7 +16,7 @@
     (messages, client): (u64, bool),
     accepted: Instant,
 ) -> Result<bool, Reason> {
-    let readable = async { link.readable().await.map_err(|_| Reason::Broke) };
+    let readable = async { link.readable().await.map_err(|_| Reason::IoError) };
     let waited = match messages {
         0 => {
             let wait = front
@@ -82,7 +82,7 @@
             Ok(0) if empty => return Err(Reason::PeerClosed),
             Ok(0) => return Err(Reason::PeerLeft),
             Ok(_) => {}
-            Err(_) => return Err(Reason::Broke),
+            Err(_) => return Err(Reason::IoError),
         }
     }
 }
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -78,7 +78,7 @@
             self.link = Some(self.front.net.dial(self.discovery, DIAL_TIMEOUT).await?);
         }
         let Some(link) = &self.link else {
-            return Err(Reason::Broke);
+            return Err(Reason::IoError);
         };
         let buffer = &mut self.front.net.pool.take();
         let host = self.discovery;
@@ -102,7 +102,7 @@
                 match link.read(buffer).await {
                     Ok(0) => return Err(Reason::PeerLeft),
                     Ok(_) => {}
-                    Err(_) => return Err(Reason::Broke),
+                    Err(_) => return Err(Reason::IoError),
                 }
             }
         };
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -137,14 +137,14 @@
         if bytes_written == buffer.filled().len() {
             sent();
         }
-        write.map_err(|_| Reason::Broke)?;
+        write.map_err(|_| Reason::IoError)?;
         buffer.clear();
         loop {
             let read = async {
                 match link.read(buffer).await {
                     Ok(0) => Err(Reason::PeerLeft),
                     Ok(_) => Ok(()),
-                    Err(_) => Err(Reason::Broke),
+                    Err(_) => Err(Reason::IoError),
                 }
             };
             match deadline {
@@ -205,7 +205,7 @@
             return Err(reason);
         }
         let Some(link) = &guard.link else {
-            return Err(Reason::Broke);
+            return Err(Reason::IoError);
         };
         let exchange = self.exchange_on(link, buffer, observers).await;
         match &exchange {
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -74,8 +74,8 @@
         (&link)
             .write_all(&encode_frame(b'H', CAPABILITIES))
             .await
-            .map_err(|_| Reason::Broke)?;
-        receive_listeners(link).await.map_err(|_| Reason::Broke)
+            .map_err(|_| Reason::IoError)?;
+        receive_listeners(link).await.map_err(|_| Reason::IoError)
     };
     within(ANSWER_TIMEOUT, Reason::Unanswered, request)
         .await
@@ -283,7 +283,7 @@
         let hello = async {
             read_frame(&link, &mut VecDeque::new())
                 .await
-                .map_err(|_| Reason::Broke)
+                .map_err(|_| Reason::IoError)
         };
         let hello = within(ANSWER_TIMEOUT, Reason::Unanswered, hello).await;
         let Ok((b'H', capabilities)) = hello else {
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -225,7 +225,7 @@
             let mut left = MAX_LINGER_BYTES;
             while left > 0 {
                 // A buffer is held only while there is something to read.
-                link.readable().await.map_err(|_| Reason::Broke)?;
+                link.readable().await.map_err(|_| Reason::IoError)?;
                 let mut buffer = self.pool.take();
                 match link.read(&mut buffer).await {
                     Ok(count @ 1..) => left = left.saturating_sub(count),
@@ -292,7 +292,7 @@
     /// The other side closed it within a message or while an answer was due.
     PeerLeft,
     /// An I/O error occurred on it.
-    Broke,
+    IoError,
     /// This side closed it after a message, as one of the sides had requested.
     Done,
     /// The input was malformed.
@@ -343,7 +343,7 @@
         match self {
             Reason::PeerClosed => "peer-closed",
             Reason::PeerLeft => "peer-left",
-            Reason::Broke => "broke",
+            Reason::IoError => "broke",
             Reason::Done => "done",
             Reason::Malformed => "malformed",
             Reason::NothingSent => "silent",
@@ -421,7 +421,7 @@
         // The socket is checked directly first: the poller's event comes one turn later, and by then the job of a client that
         // has disconnected could already be sent to a machine.
         if rest.is_none() && !self.stale() && self.readable().await.is_err() {
-            return Reason::Broke;
+            return Reason::IoError;
         }
         let buffer = rest.get_or_insert_with(|| pool.take());
         loop {
@@ -437,7 +437,7 @@
             match self.read(buffer).await {
                 Ok(0) => return Reason::PeerLeft,
                 Ok(_) => {}
-                Err(_) => return Reason::Broke,
+                Err(_) => return Reason::IoError,
             }
         }
     }
@@ -493,13 +493,13 @@
     ///
     /// # Errors
     ///
-    /// [`Reason::Broke`] on an I/O error, [`Reason::Stalled`] if the limit passes first.
+    /// [`Reason::IoError`] on an I/O error, [`Reason::Stalled`] if the limit passes first.
     pub async fn send(&self, bytes: &[u8], limit: Duration) -> Result<(), Reason> {
         let mut bytes_written = 0;
         let write = async {
             self.write(bytes, &mut bytes_written)
                 .await
-                .map_err(|_| Reason::Broke)
+                .map_err(|_| Reason::IoError)
         };
         within(limit, Reason::Stalled, write).await
     }
