--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -74,7 +74,7 @@
     }
     connection
         .link
-        .end(side, reason, format_args!("wid={wid:?}"));
+        .log_end(side, reason, format_args!("wid={wid:?}"));
 }
 
 impl Connection {
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -55,7 +55,7 @@
         if reason.after_answer() {
             front.net.linger(&link).await;
         }
-        return link.end(
+        return link.log_end(
             "submitter",
             reason,
             format_args!("messages={messages} status={status}"),
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -43,7 +43,7 @@
     /// Closes the connection, if there is one.
     pub(super) fn drop_link(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
-            link.end("list", reason, "");
+            link.log_end("list", reason, "");
         }
     }
 
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -343,7 +343,7 @@
 
     fn hang_up(&self) {
         for (link, _) in self.connections.idle.borrow_mut().drain(..) {
-            link.end(
+            link.log_end(
                 "worker",
                 Reason::Done,
                 format_args!("machine={}", self.connections.host),
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -52,7 +52,7 @@
 impl ConnectionGuard<'_> {
     fn end(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
-            link.end(
+            link.log_end(
                 "worker",
                 reason,
                 format_args!("machine={}", self.connections.host),
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -516,7 +516,7 @@
     }
 
     /// Writes the log line of a connection that has ended and closes it.
-    pub fn end(self, side: &str, reason: Reason, about: impl Display) {
+    pub fn log_end(self, side: &str, reason: Reason, about: impl Display) {
         log(format_args!(
             "conn side={side} peer={} reason={} {about}",
             self.peer(),
