--- a/crates/indigofold/src/config.rs
+++ b/crates/indigofold/src/config.rs
@@ -67,13 +67,13 @@
 }
 
 /// Derives a machine's id from its name. The id is the same in every scheduler unless another machine there has it.
-pub fn number(name: &str) -> u32 {
+pub fn machine_id(name: &str) -> u32 {
     let h = hash(name);
     (h ^ (h >> 32)) as u32
 }
 
 /// Returns `number`, or the next higher one that is not taken, with wrap-around.
-pub fn untaken(mut number: u32, taken: impl Fn(u32) -> bool) -> u32 {
+pub fn next_free_id(mut number: u32, taken: impl Fn(u32) -> bool) -> u32 {
     while taken(number) {
         number = number.wrapping_add(1);
     }
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -127,7 +127,7 @@
         let (mut site, mut entries) = (self.file.site.clone(), Vec::<Entry>::new());
         for m in &self.file.machines {
             let taken = |id: WorkerId| entries.iter().any(|e| e.worker == id);
-            let worker = config::untaken(config::number(&m.machine), taken);
+            let worker = config::next_free_id(config::machine_id(&m.machine), taken);
             let (zone, kind) = (site.zones.id(&m.zone), site.kinds.id(&m.kind));
             let state = WorkerState::Left;
             entries.push(Entry {
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -214,8 +214,8 @@
         let hex = host.rsplit('-').next().filter(|h| h.len() == 8);
         let id = hex
             .and_then(|h| u32::from_str_radix(h, 16).ok())
-            .unwrap_or_else(|| config::number(host));
-        let id = config::untaken(id, |id| {
+            .unwrap_or_else(|| config::machine_id(host));
+        let id = config::next_free_id(id, |id| {
             self.names.borrow().values().any(|other| *other == id)
         });
         self.names.borrow_mut().insert(host.to_string(), id);
