--- a/crates/indigofold/src/config/site.rs
+++ b/crates/indigofold/src/config/site.rs
@@ -59,7 +59,7 @@
     /// all that the agent has received.
     pub pushed: bool,
     /// A machine closes its idle connections after this long, in microseconds.
-    pub conn_idle: Time,
+    pub idle_timeout: Time,
     fields: [ReportField; 2],
 }
 
@@ -106,7 +106,7 @@
             tenants: names("customers", Some("name")),
             dropped: Vec::new(),
             pushed: false,
-            conn_idle: env.at("policyLimits").number_or("connIdle", 5e6).max(0.0) as Time,
+            idle_timeout: env.at("policyLimits").number_or("connIdle", 5e6).max(0.0) as Time,
             fields: [field("reportX0"), field("reportX1")],
         })
     }
@@ -130,12 +130,12 @@
 
     /// Returns the new settings translated to the ids of this site. Known names keep their ids, to which open jobs, metrics
     /// and statistics refer; new names are appended, and a class that was removed keeps its rules.
-    pub fn followed_by(&self, new: Site) -> Site {
+    pub fn reloaded_with(&self, new: Site) -> Site {
         let mut site = Site {
             settings: new.settings.clone(),
             ..self.clone()
         };
-        (site.conn_idle, site.fields, site.pushed) = (new.conn_idle, new.fields, new.pushed);
+        (site.idle_timeout, site.fields, site.pushed) = (new.idle_timeout, new.fields, new.pushed);
         let map = |old: &mut Names, names: &Names| {
             names.all().map(|name| old.id(name)).collect::<Vec<_>>()
         };
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -152,7 +152,7 @@
     /// Applies new settings to this front end and to the decision module at the same point in the core's mailbox: jobs
     /// parsed with the old settings precede the change in the mailbox, jobs parsed with the new ones follow it.
     pub async fn reconfigure(&self, new: Site) {
-        let site = self.site.borrow().followed_by(new);
+        let site = self.site.borrow().reloaded_with(new);
         let mut input = CoreInput::Settings(Box::new(site.settings.clone()));
         while let Err(TrySendError::Full(returned)) = self.core.try_send(input) {
             input = returned;
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -77,7 +77,7 @@
         let (trusted, limit) = {
             let site = self.front.site.borrow();
             let trusted =
-                Duration::from_micros((site.conn_idle as f64 * TRUSTED_IDLE_FRACTION) as u64);
+                Duration::from_micros((site.idle_timeout as f64 * TRUSTED_IDLE_FRACTION) as u64);
             (
                 trusted,
                 Duration::from_micros(site.settings.limits.dial_timeout.max(1)),
