--- a/crates/core/src/job_table.rs
+++ b/crates/core/src/job_table.rs
@@ -428,7 +428,7 @@
 /// Delivers a job's answer to its reply channel or to the transport.
 fn deliver(reply: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
     match reply {
-        Reply::To(sender) => _ = sender.try_send(answer),
+        Reply::Channel(sender) => _ = sender.try_send(answer),
         Reply::Transport => transport.answer(job, answer),
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// The receiver of this channel.
-    To(Sender<Answer>),
+    Channel(Sender<Answer>),
     /// The transport, through [`Transport::answer`].
     Transport,
 }
--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -61,7 +61,7 @@
     };
     table.handle_input(
         0,
-        CoreInput::Job(request, 1_000_000, Reply::To(to)),
+        CoreInput::Job(request, 1_000_000, Reply::Channel(to)),
         transport,
     );
     from
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -189,7 +189,7 @@
         let (answer, answered) = bounded(1);
         let _ = self
             .core
-            .send(CoreInput::Job(request, until, Reply::To(answer)))
+            .send(CoreInput::Job(request, until, Reply::Channel(answer)))
             .await;
         let front = self.clone();
         self.net.spawn(async move {
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -291,7 +291,7 @@
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
-    let input = CoreInput::Job(request, until, Reply::To(to));
+    let input = CoreInput::Job(request, until, Reply::Channel(to));
     if front.core.send(input).await.is_err() {
         return Ok((500, String::new(), Vec::new()));
     }
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -275,7 +275,7 @@
             self.order(t.worker, Order::Accepted(AttemptId { job: id, number }));
         }
         self.lifecycle.last_job.set(self.clock.now());
-        let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::To(to));
+        let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::Channel(to));
         let _ = self.core.send(input).await;
         Some((id, record, from))
     }
