--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -45,7 +45,7 @@
     };
     Settings {
         dispatchers: 2,
-        me: 0,
+        dispatcher_index: 0,
         zone: 0,
         granularity: 5 * MS,
         classes: vec![
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -186,7 +186,7 @@
     /// Number of dispatchers that send to these workers.
     pub dispatchers: u32,
     /// Index of this dispatcher, counted from 0.
-    pub me: u32,
+    pub dispatcher_index: u32,
     /// This dispatcher's zone.
     pub zone: ZoneId,
     /// Shortest time between two batches of events.
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -117,7 +117,8 @@
         let is_of_kind = |index: &usize| self.fleet[*index].kind == kind;
         let all: Vec<usize> = pool.iter().copied().filter(is_of_kind).collect();
         let count = all.len();
-        let first = count * self.settings.me as usize / self.settings.dispatchers as usize;
+        let first =
+            count * self.settings.dispatcher_index as usize / self.settings.dispatchers as usize;
         let preferred_count = (fraction * count as f64).ceil() as usize;
         for (position, &index) in all.iter().enumerate() {
             let warm_up_rate = self.warm_up_rate(now, &self.fleet[index]);
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -133,8 +133,11 @@
         }
         let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
         let in_flight: Vec<_> = other.in_flight.iter().map(slots).collect();
-        self.fleet
-            .replace_claims(other.at.min(now), self.settings.me, &in_flight);
+        self.fleet.replace_claims(
+            other.at.min(now),
+            self.settings.dispatcher_index,
+            &in_flight,
+        );
         if self.settings.rules.resends.is_some() {
             self.retries.merge(now, other.retried_at);
         }
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -42,7 +42,8 @@
         // The dispatchers with a part of the budget start at a different index for each worker. All dispatchers compute
         // the same index.
         let first = u64::from(worker.listed.worker).wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 32;
-        let has_part = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
+        let has_part =
+            first.wrapping_sub(u64::from(self.settings.dispatcher_index)) % dispatchers < parts;
         Some(if has_part {
             budget * fraction / parts as f64
         } else {
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -115,7 +115,7 @@
     for me in 0..40 {
         let mut harness = Harness::new(
             Settings {
-                me,
+                dispatcher_index: me,
                 ..settings_with(false, true)
             },
             &[entry(1, 0), entry(3, 0)],
--- a/crates/decisions/tests/rules/main.rs
+++ b/crates/decisions/tests/rules/main.rs
@@ -40,7 +40,7 @@
                 // No dispatcher, a few, or more than there are workers; with different load reports, and with and
                 // without peer updates, tenants and prices.
                 s.dispatchers = if dispatchers == 5 { 60 } else { dispatchers };
-                s.me = dispatchers;
+                s.dispatcher_index = dispatchers;
                 s.reports = if pushed {
                     Reports::OnProbe
                 } else {
--- a/crates/decisions/tests/sampling.rs
+++ b/crates/decisions/tests/sampling.rs
@@ -116,7 +116,7 @@
     let served = |me: u32| {
         let settings = Settings {
             dispatchers: 40,
-            me,
+            dispatcher_index: me,
             ..settings()
         };
         let mut harness = Harness::new(settings, &workers);
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -84,7 +84,7 @@
         for me in 0..40 {
             let mut settings = Settings {
                 dispatchers: 40,
-                me,
+                dispatcher_index: me,
                 ..settings()
             };
             settings.rules.warm_after = 60 * SEC;
@@ -138,7 +138,7 @@
         let mut harness = Harness::new(
             Settings {
                 dispatchers: 40,
-                me: *me,
+                dispatcher_index: *me,
                 ..settings()
             },
             &workers,
@@ -211,7 +211,7 @@
 fn one_of_three_hundred(me: u32, run: Time) -> Harness {
     let settings = Settings {
         dispatchers: 300,
-        me,
+        dispatcher_index: me,
         reports: Reports::OnProbe,
         ..settings()
     };
--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -25,7 +25,7 @@
     };
     Settings {
         dispatchers: 1,
-        me: 0,
+        dispatcher_index: 0,
         zone: 0,
         granularity: 5_000,
         classes: vec![class],
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -34,7 +34,7 @@
     });
     Ok(Settings {
         dispatchers: env.within("balancers", 1.0, f64::INFINITY)? as u32,
-        me: env.within("me", 0.0, f64::INFINITY)? as u32,
+        dispatcher_index: env.within("me", 0.0, f64::INFINITY)? as u32,
         zone,
         granularity: env.number_or("granularity", 1000.0).max(1.0) as Time,
         classes,
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -160,7 +160,7 @@
     let (membership, mut first) = (workers(2, 4), BTreeMap::new());
     for me in 0..2 {
         let settings = Settings {
-            me,
+            dispatcher_index: me,
             progress: SEC,
             ..settings()
         };
