--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -167,11 +167,11 @@
     pub warm_after: Time,
     /// Time after a membership event from which on no request may be sent to a worker that the event drains or removes.
     pub drain_grace: Time,
-    /// A worker in warm-up fails when it is sent more work in [`Rules::tip_window`] than this multiple of its current
+    /// A worker in warm-up fails when it is sent more work in [`Rules::warm_up_overload_window`] than this multiple of its current
     /// capacity.
-    pub tip_multiple: f64,
-    /// Length of the window for [`Rules::tip_multiple`].
-    pub tip_window: Time,
+    pub warm_up_overload_multiple: f64,
+    /// Length of the window for [`Rules::warm_up_overload_multiple`].
+    pub warm_up_overload_window: Time,
     /// Retry budget; `None`: only [`Limits::attempts`] limits retries.
     pub resends: Option<ResendBudget>,
     /// Time within which idle connections to a draining worker must be closed; `None`: they may stay open.
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -1,5 +1,5 @@
 //! Workers in warm-up: the fraction of their capacity that they have, and the work that may be sent to them. A budget
-//! of work in any window limits that work (`tip_multiple` and `tip_window` of [`Rules`](crate::api::Rules)).
+//! of work in any window limits that work (`warm_up_overload_multiple` and `warm_up_overload_window` of [`Rules`](crate::api::Rules)).
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -35,8 +35,9 @@
         }
         let rules = &self.settings.rules;
         let dispatchers = u64::from(self.settings.dispatchers);
-        let budget = rules.tip_multiple * WARM_UP_USE * self.capacity(worker);
-        let least = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
+        let budget = rules.warm_up_overload_multiple * WARM_UP_USE * self.capacity(worker);
+        let least =
+            budget * rules.initial_capacity * rules.warm_up_overload_window as f64 / WARM_UP_JOBS;
         let jobs = (least * self.run_times.weight / self.run_times.sum.max(1.0)) as u64;
         let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
         // The dispatchers with a part of the budget start at a different index for each worker. All dispatchers compute
@@ -59,7 +60,7 @@
         };
         let budget = worker.warm_up_budget;
         let accumulated = budget.value + rate * now.saturating_sub(budget.at) as f64;
-        let most = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
+        let most = rate * self.settings.rules.warm_up_overload_window as f64 / WARM_UP_JOBS;
         accumulated.min(work.max(most))
     }
 }
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -266,10 +266,12 @@
         sends.push(now);
         let recent = sends
             .iter()
-            .filter(|at| **at + rules.tip_window > now)
+            .filter(|at| **at + rules.warm_up_overload_window > now)
             .count() as f64;
         let dispatchers = self.settings.dispatchers.max(1) as f64;
-        let budget = rules.tip_multiple * fraction * 8.0 * rules.tip_window as f64 / dispatchers;
+        let budget =
+            rules.warm_up_overload_multiple * fraction * 8.0 * rules.warm_up_overload_window as f64
+                / dispatchers;
         // Actual runs may be much shorter, which the module learns. With few dispatchers, the assumption of 8 slots
         // leaves enough tolerance for that. Small parts of a budget are checked by the test
         // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -62,11 +62,12 @@
     for t in &sends {
         let recent = sends
             .iter()
-            .filter(|u| **u <= *t && **u + rules.tip_window > *t)
+            .filter(|u| **u <= *t && **u + rules.warm_up_overload_window > *t)
             .count() as f64;
         let fraction = min_warm_up_fraction(&rules, *t - ready_at);
         // The worker's slots were never observed, so it counts as having as many as observed for its kind: one.
-        let budget = rules.tip_multiple * fraction * rules.tip_window as f64 / 3.0;
+        let budget =
+            rules.warm_up_overload_multiple * fraction * rules.warm_up_overload_window as f64 / 3.0;
         assert!(
             recent * 100_000.0 <= budget,
             "{recent} jobs in a window, at {fraction} of the worker's capacity"
@@ -184,15 +185,15 @@
         ));
     }
     let budget = |at: Time| {
-        7.0 * rules.tip_multiple
+        7.0 * rules.warm_up_overload_multiple
             * min_warm_up_fraction(&rules, at - ready_at)
-            * rules.tip_window as f64
+            * rules.warm_up_overload_window as f64
     };
     for n in 0..4 * SEC / step {
         let at = ready_at + n * step;
         let sent = sends
             .iter()
-            .filter(|t| **t <= at && **t + rules.tip_window > at)
+            .filter(|t| **t <= at && **t + rules.warm_up_overload_window > at)
             .count() as f64;
         assert!(
             sent * run as f64 <= 0.76 * budget(at),
--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -54,8 +54,8 @@
             initial_capacity: 0.3,
             warm_after: 8_000_000,
             drain_grace: 500_000,
-            tip_multiple: 3.0,
-            tip_window: 1_000_000,
+            warm_up_overload_multiple: 3.0,
+            warm_up_overload_window: 1_000_000,
             ..Rules::default()
         },
     }
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -134,8 +134,8 @@
         initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
         warm_after: rules.time("warmAfter")?,
         drain_grace: rules.time("drainGrace")?,
-        tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
-        tip_window: rules.time("overloadFor")?,
+        warm_up_overload_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
+        warm_up_overload_window: rules.time("overloadFor")?,
         resends: resend_budget(rules)?,
         close_idle_within: rules.optional_number("letGoIn")?.map(|v| v as Time),
         full_may_have_run: match rules.at("fullMayHaveRun").0 {
