--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -90,7 +90,7 @@
         drain_grace: 500 * MS,
         warm_up_overload_multiple: 3.0,
         warm_up_overload_window: SEC,
-        resends: None,
+        retry_budget: None,
         close_idle_within: None,
         full_may_have_run: false,
     }
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -144,7 +144,7 @@
 
 /// Retry budget of a dispatcher: how many attempts beyond each request's first one it may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResendBudget {
+pub struct RetryBudget {
     /// Retries allowed regardless of the traffic.
     pub free: f64,
     /// Further retries for each request accepted in the window.
@@ -173,7 +173,7 @@
     /// Length of the window for [`Rules::warm_up_overload_multiple`].
     pub warm_up_overload_window: Time,
     /// Retry budget; `None`: only [`Limits::attempts`] limits retries.
-    pub resends: Option<ResendBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Time within which idle connections to a draining worker must be closed; `None`: they may stay open.
     pub close_idle_within: Option<Time>,
     /// Whether an attempt that ended with [`Status::Full`] may have run.
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -20,7 +20,7 @@
         let work = self.work(open.job.class, open.job.estimate);
         let (class, over_quota, slots) = (open.job.class, open.job.over_quota, open.job.slots);
         self.retries
-            .record_accepted(now, self.settings.rules.resends);
+            .record_accepted(now, self.settings.rules.retry_budget);
         self.open.insert(id, open);
         if self.is_displaced(class, over_quota, work, slots) {
             return self.answer(now, id, out);
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -95,7 +95,8 @@
             self.fleet.add_unstarted(index, unstarted);
         }
         if attempt > 0 {
-            self.retries.record_retry(now, self.settings.rules.resends);
+            self.retries
+                .record_retry(now, self.settings.rules.retry_budget);
         }
         self.fleet.add_slots(index, open.job.slots);
         open.queued_in = None;
@@ -149,7 +150,7 @@
 
     /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
     pub(super) fn retries_left(&mut self, now: Time) -> f64 {
-        self.retries.left(now, self.settings.rules.resends)
+        self.retries.left(now, self.settings.rules.retry_budget)
     }
 
     /// Whether the class's effect allows a further attempt on this worker, given the first attempt that may have run.
--- a/crates/decisions/src/dispatcher/retry_budget.rs
+++ b/crates/decisions/src/dispatcher/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Accounting for the retry budget, which limits attempts beyond each request's first one in a sliding window.
 
-use crate::api::{ResendBudget, Time};
+use crate::api::{RetryBudget, Time};
 use std::collections::VecDeque;
 
 /// Accepted requests and retries in the window of the budget. Nothing is recorded without a budget.
@@ -14,12 +14,12 @@
 
 impl RetryHistory {
     /// Records an accepted request, which adds to the budget.
-    pub(super) fn record_accepted(&mut self, now: Time, budget: Option<ResendBudget>) {
+    pub(super) fn record_accepted(&mut self, now: Time, budget: Option<RetryBudget>) {
         self.accepted_at.extend(budget.map(|_| now));
     }
 
     /// Records a retry, which uses the budget.
-    pub(super) fn record_retry(&mut self, now: Time, budget: Option<ResendBudget>) {
+    pub(super) fn record_retry(&mut self, now: Time, budget: Option<RetryBudget>) {
         self.retried_at.extend(budget.map(|_| now));
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
-    pub(super) fn left(&mut self, now: Time, budget: Option<ResendBudget>) -> f64 {
+    pub(super) fn left(&mut self, now: Time, budget: Option<RetryBudget>) -> f64 {
         let Some(budget) = budget else {
             return f64::INFINITY;
         };
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -138,7 +138,7 @@
             self.settings.dispatcher_index,
             &in_flight,
         );
-        if self.settings.rules.resends.is_some() {
+        if self.settings.rules.retry_budget.is_some() {
             self.retries.merge(now, other.retried_at);
         }
         let has_more_samples =
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -67,7 +67,7 @@
 fn retries_stay_within_their_budget_in_any_window() {
     let mut settings = settings();
     settings.limits.retry_after = false;
-    settings.rules.resends = Some(ResendBudget {
+    settings.rules.retry_budget = Some(RetryBudget {
         free: 2.0,
         ratio: 0.1,
         window: Some(10 * SEC),
@@ -110,7 +110,7 @@
 #[test]
 fn queued_retries_stay_within_the_budget_that_is_left_when_they_are_sent() {
     let mut settings = settings();
-    settings.rules.resends = Some(ResendBudget {
+    settings.rules.retry_budget = Some(RetryBudget {
         free: 1.0,
         ratio: 0.0,
         window: None,
@@ -150,7 +150,7 @@
 #[test]
 fn unsent_attempts_are_returned_to_the_retry_budget() {
     let mut settings = settings();
-    settings.rules.resends = Some(ResendBudget {
+    settings.rules.retry_budget = Some(RetryBudget {
         free: 1.0,
         ratio: 0.0,
         window: Some(10 * SEC),
@@ -173,7 +173,7 @@
 #[test]
 fn retry_budget_without_a_window_is_never_renewed() {
     let mut settings = settings();
-    settings.rules.resends = Some(ResendBudget {
+    settings.rules.retry_budget = Some(RetryBudget {
         free: 1.0,
         ratio: 5.0,
         window: None,
@@ -224,7 +224,7 @@
 fn absent_retry_budget_equals_one_that_is_never_used_up() {
     let run = |resends| {
         let mut settings = settings();
-        settings.rules.resends = resends;
+        settings.rules.retry_budget = resends;
         let mut harness = Harness::new(
             settings,
             &(0..6).map(|i| entry(i, i % 3)).collect::<Vec<_>>(),
@@ -248,7 +248,7 @@
         }
         log
     };
-    let never_used_up = ResendBudget {
+    let never_used_up = RetryBudget {
         free: 1e9,
         ratio: 0.0,
         window: Some(10 * SEC),
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -94,7 +94,7 @@
         "a started attempt is not moved"
     );
     let mut no_retries = settings_with(false, true);
-    no_retries.rules.resends = Some(ResendBudget {
+    no_retries.rules.retry_budget = Some(RetryBudget {
         free: 0.0,
         ratio: 0.0,
         window: None,
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -201,7 +201,7 @@
 
     fn check_retry_budget(&mut self, now: Time, request: RequestId) {
         let number = self.requests[&request].attempts.len();
-        let Some(budget) = self.settings.rules.resends.filter(|_| number > 0) else {
+        let Some(budget) = self.settings.rules.retry_budget.filter(|_| number > 0) else {
             return;
         };
         let is_recent = |at: &Time| budget.window.is_none_or(|window| *at + window >= now);
--- a/crates/decisions/tests/rules/main.rs
+++ b/crates/decisions/tests/rules/main.rs
@@ -10,10 +10,10 @@
 use proptest::prelude::*;
 use steps::step;
 
-fn any_optional_rules() -> impl Strategy<Value = (Option<ResendBudget>, Option<Time>, bool)> {
+fn any_optional_rules() -> impl Strategy<Value = (Option<RetryBudget>, Option<Time>, bool)> {
     let window = prop_oneof![Just(None), (SEC..10 * SEC).prop_map(Some)];
     let budget = (0.0..4.0, 0.0..0.5, window);
-    let budget = budget.prop_map(|(free, ratio, window)| ResendBudget {
+    let budget = budget.prop_map(|(free, ratio, window)| RetryBudget {
         free,
         ratio,
         window,
@@ -70,7 +70,7 @@
     #[test]
     fn rules_are_kept_for_random_event_sequences(settings in any_settings(), optional_rules in any_optional_rules(), steps in prop::collection::vec(step(), 1..200)) {
         let mut settings = settings;
-        (settings.rules.resends, settings.rules.close_idle_within, settings.rules.full_may_have_run) = optional_rules;
+        (settings.rules.retry_budget, settings.rules.close_idle_within, settings.rules.full_may_have_run) = optional_rules;
         let mut checker = Checker::new(settings);
         checker.check();
         for step in steps {
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -189,14 +189,14 @@
 /// Retries of the former process use the retry budget of the new one; they count once even if merged twice.
 #[test]
 fn merged_retries_count_once_in_the_retry_budget() {
-    let budget = ResendBudget {
+    let budget = RetryBudget {
         free: 1.0,
         ratio: 0.0,
         window: Some(10 * SEC),
     };
     let settings = Settings {
         rules: Rules {
-            resends: Some(budget),
+            retry_budget: Some(budget),
             ..settings().rules
         },
         ..settings()
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -4,7 +4,7 @@
 use super::error::{ClassSnafu, MissingSnafu, NotABooleanSnafu};
 use super::json::Json;
 use crate::api::{
-    Charges, Class, Effect, Group, KindId, Limits, Reports, ResendBudget, Rules, Settings, Tenant,
+    Charges, Class, Effect, Group, KindId, Limits, Reports, RetryBudget, Rules, Settings, Tenant,
     Time, ZoneId,
 };
 use simd_json::prelude::*;
@@ -136,7 +136,7 @@
         drain_grace: rules.time("drainGrace")?,
         warm_up_overload_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
         warm_up_overload_window: rules.time("overloadFor")?,
-        resends: resend_budget(rules)?,
+        retry_budget: retry_budget(rules)?,
         close_idle_within: rules.optional_number("letGoIn")?.map(|v| v as Time),
         full_may_have_run: match rules.at("fullMayHaveRun").0 {
             None => false,
@@ -148,14 +148,14 @@
 }
 
 /// Reads the retry budget; `None` if no part of it is set. If only a part is set, a missing number counts as 0.
-fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
+fn retry_budget(rules: Json<'_>) -> Parse<Option<RetryBudget>> {
     let (free, ratio) = (
         rules.optional_number("freeResends")?,
         rules.optional_number("resendRatio")?,
     );
     let window = rules.optional_number("countedOver")?.map(|v| v as Time);
     let stated = free.is_some() || ratio.is_some() || window.is_some();
-    let budget = ResendBudget {
+    let budget = RetryBudget {
         free: free.unwrap_or(0.0),
         ratio: ratio.unwrap_or(0.0),
         window,
