--- a/crates/core/src/job_table.rs
+++ b/crates/core/src/job_table.rs
@@ -261,7 +261,7 @@
                 };
                 self.cancel(id, transport);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => self.answer(request, Answer::Rejected(retry_after), transport),
--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -191,7 +191,7 @@
     assert!(format!("{:?}", table.take_events()).contains("ConnectFailed, closed: false"));
     attempt(&mut table, &transport, 5);
     table.act(
-        Action::Refuse {
+        Action::Reject {
             request: 1,
             retry_after: 7,
         },
--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -211,7 +211,7 @@
     pub fn is_refused(&self, id: RequestId) -> bool {
         self.actions
             .iter()
-            .any(|action| matches!(action, Action::Refuse { request, .. } if *request == id))
+            .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
     }
 
     /// Whether the last actions answer this request with a failure.
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -429,7 +429,7 @@
         attempt: AttemptNo,
     },
     /// Final answer: the request is rejected, and a retry by the client is safe.
-    Refuse {
+    Reject {
         /// Id of the request.
         request: RequestId,
         /// Time after which the client is advised to retry; 0: no advice.
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -258,7 +258,7 @@
     }
 
     /// Gives a request its final answer: a rejection if a repeat is harmless, otherwise a failure. No other function
-    /// emits [`Action::Refuse`] or [`Action::Fail`].
+    /// emits [`Action::Reject`] or [`Action::Fail`].
     pub(super) fn answer(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
             return;
@@ -271,7 +271,7 @@
         let is_harmless = is_idempotent || open.job.attempts.iter().all(|a| a.never_ran);
         let retry_after = self.retry_after(now, open);
         out.push(if is_harmless {
-            Action::Refuse {
+            Action::Reject {
                 request: id,
                 retry_after,
             }
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -151,7 +151,7 @@
     assert!(
         !before
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
     );
     harness.advance(200 * MS);
     for id in ids {
@@ -258,7 +258,7 @@
         let all = harness.advance(2 * SEC);
         let advice = |out: &[Action], id| {
             let advised = |action: &Action| match action {
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                 } if *request == id => Some(*retry_after),
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -156,7 +156,7 @@
     assert!(
         ends.iter().any(|a| matches!(
             a,
-            Action::Refuse {
+            Action::Reject {
                 request: ADOPTED,
                 ..
             }
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -76,7 +76,7 @@
                 Action::Send {
                     request, worker, ..
                 } => self.check_send(now, request, worker),
-                Action::Refuse { request, .. } => self.check_answer(now, request, true),
+                Action::Reject { request, .. } => self.check_answer(now, request, true),
                 Action::Fail { request } => self.check_answer(now, request, false),
                 Action::Cancel { request, attempt } => {
                     assert!(self.settings.limits.cancel);
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -216,13 +216,13 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "UNDO_SEND requestId={} trial={attempt}", name(request))
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after: 0,
             } => {
                 writeln!(out, "PUSH_BACK requestId={}", name(request))
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -256,7 +256,7 @@
                     r.attempts_out += 1;
                 }
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 self.forget_if_closed(*request, true, 0);
             }
             _ => {}
