--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -7,8 +7,9 @@
 #![warn(missing_docs)]
 
 use indigofold_decisions::api::{
-    Action, AttemptNo, Charges, Class, ClassId, Effect, Entry, Event, Group, KindId, Limits, Load,
-    Reports, Request, RequestId, Rules, Scope, Settings, Status, Time, WorkerId, WorkerState,
+    Action, AttemptNo, Charges, Class, ClassId, DeduplicationScope, Effect, Entry, Event, KindId,
+    Limits, Load, Reports, Request, RequestId, Rules, Scope, Settings, Status, Time, WorkerId,
+    WorkerState,
 };
 use indigofold_decisions::dispatcher::Dispatcher;
 
@@ -50,9 +51,9 @@
         granularity: 5 * MS,
         classes: vec![
             class(Effect::Safe),
-            class(keyed(Group::Cell)),
+            class(keyed(DeduplicationScope::Cell)),
             class(Effect::Unsafe),
-            class(keyed(Group::All)),
+            class(keyed(DeduplicationScope::All)),
         ],
         tenants: vec![],
         membership_pushed: true,
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -18,7 +18,7 @@
     /// that may have run.
     Keyed {
         /// The workers that drop each other's repeats.
-        group: Group,
+        group: DeduplicationScope,
         /// How long repeats are dropped, counted from the send of the first attempt that may have run.
         ttl: Time,
     },
@@ -28,7 +28,7 @@
 
 /// The workers that drop repeats of a keyed request for each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers drop each other's repeats.
     All,
     /// Workers of the same zone drop each other's repeats.
@@ -236,7 +236,7 @@
     pub zone: ZoneId,
     /// Kind of the worker.
     pub kind: KindId,
-    /// Cell of the worker. Workers of one cell drop repeats of keyed requests for each other ([`Group::Cell`]).
+    /// Cell of the worker. Workers of one cell drop repeats of keyed requests for each other ([`DeduplicationScope::Cell`]).
     pub cell: u32,
     /// Whether the worker takes requests, drains or has left.
     pub state: WorkerState,
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -4,7 +4,8 @@
 use super::tuning::{HOME_SCAN_MISSES_MAX, LATE_MARGIN, SCAN_MISSES_MAX, WITHIN_QUOTA_FRACTION};
 use super::{Dispatcher, random_fraction};
 use crate::api::{
-    Action, AttemptNo, Class, Effect, Group, Reports, Request, RequestId, Tenant, TenantId, Time,
+    Action, AttemptNo, Class, DeduplicationScope, Effect, Reports, Request, RequestId, Tenant,
+    TenantId, Time,
 };
 use crate::transferred_job::TransferredJob;
 
@@ -265,7 +266,7 @@
         };
         let is_idempotent = match self.settings.classes[open.job.class].effect {
             Effect::Safe => true,
-            Effect::Keyed { group, .. } => group == Group::All,
+            Effect::Keyed { group, .. } => group == DeduplicationScope::All,
             Effect::Unsafe => false,
         };
         let is_harmless = is_idempotent || open.job.attempts.iter().all(|a| a.never_ran);
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -5,7 +5,7 @@
 use super::state::{Attempt, AttemptId, OpenRequest};
 use super::tuning::{LATE_MARGIN, LATE_START_WAIT, MOVE_FETCHES, MOVE_WAIT};
 use crate::affinity;
-use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
+use crate::api::{Action, AttemptNo, DeduplicationScope, Effect, Load, RequestId, Status, Time};
 use crate::runs::{self, freshness};
 use crate::transferred_job::Progress;
 
@@ -161,10 +161,12 @@
         let of = &self.fleet[first.worker].listed;
         match self.settings.classes[open.job.class].effect {
             Effect::Keyed {
-                group: Group::Zone, ..
+                group: DeduplicationScope::Zone,
+                ..
             } => of.zone == worker.listed.zone,
             Effect::Keyed {
-                group: Group::Cell, ..
+                group: DeduplicationScope::Cell,
+                ..
             } => of.cell == worker.listed.cell,
             _ => true,
         }
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -125,7 +125,7 @@
         let is_keyed_everywhere = matches!(
             effect,
             Effect::Keyed {
-                group: Group::All,
+                group: DeduplicationScope::All,
                 ..
             }
         );
@@ -242,11 +242,11 @@
                     "a retry after the lifetime of the key"
                 );
                 assert!(
-                    group != Group::Cell || first_entry.cell == entry.cell,
+                    group != DeduplicationScope::Cell || first_entry.cell == entry.cell,
                     "a retry in another cell"
                 );
                 assert!(
-                    group != Group::Zone || first_entry.zone == entry.zone,
+                    group != DeduplicationScope::Zone || first_entry.zone == entry.zone,
                     "a retry in another zone"
                 );
             }
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -4,8 +4,8 @@
 use super::error::{ClassSnafu, MissingSnafu, NotABooleanSnafu};
 use super::json::Json;
 use crate::api::{
-    Charges, Class, Effect, Group, KindId, Limits, Reports, RetryBudget, Rules, Settings, Tenant,
-    Time, ZoneId,
+    Charges, Class, DeduplicationScope, Effect, KindId, Limits, Reports, RetryBudget, Rules,
+    Settings, Tenant, Time, ZoneId,
 };
 use simd_json::prelude::*;
 use snafu::{OptionExt, ResultExt};
@@ -82,9 +82,9 @@
 /// Reads the effect of a second run of a job of this class.
 fn effect(c: Json<'_>) -> Parse<Effect> {
     let groups = [
-        ("all", Group::All),
-        ("zone", Group::Zone),
-        ("cell", Group::Cell),
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
     ];
     match c.one_of("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
         Some(0) => Ok(Effect::Safe),
