--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -74,7 +74,7 @@
                 .collect(),
             in_flight: self.slots_in_flight(),
             retried_at: self.retries.latest(statistics::RETRIED_MAX),
-            pace: Some(self.fleet_statistics(now)),
+            fleet: Some(self.fleet_statistics(now)),
         }
     }
 
@@ -143,7 +143,7 @@
         }
         let has_more_samples =
             |fleet: &FleetStatistics| fleet.run_times.weight * run_weight > self.run_times.weight;
-        if let Some(fleet) = other.pace.filter(has_more_samples) {
+        if let Some(fleet) = other.fleet.filter(has_more_samples) {
             self.replace_fleet_statistics(now, &fleet, run_weight, fleet_weight);
             for (tenant, fraction) in &other.tenants {
                 self.arrivals.set_fraction(*tenant, *fraction);
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -61,7 +61,7 @@
     /// When retries were made, in ascending order. Empty if no budget limits retries.
     pub retried_at: Vec<Time>,
     /// Statistics of the whole fleet and its traffic; `None`: nothing is known.
-    pub pace: Option<FleetStatistics>,
+    pub fleet: Option<FleetStatistics>,
 }
 
 /// Statistics of a kind of workers.
@@ -270,7 +270,7 @@
             workers: map(self.workers, &mut worker),
             in_flight: map(self.in_flight, &mut worker),
             retried_at: self.retried_at,
-            pace: self.pace,
+            fleet: self.fleet,
         }
     }
 
@@ -295,7 +295,7 @@
             self.retried_at.len() as f64,
             0.0..=RETRIED_MAX as f64,
         )?;
-        self.pace.as_ref().map_or(Ok(()), FleetStatistics::check)
+        self.fleet.as_ref().map_or(Ok(()), FleetStatistics::check)
     }
 }
 
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -74,7 +74,7 @@
         )],
         in_flight: vec![(worker, 1.5)],
         retried_at: vec![1_699_999_998_000_000, 1_699_999_999_500_000],
-        pace: Some(fleet_statistics(fetches)),
+        fleet: Some(fleet_statistics(fetches)),
     }
 }
 
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -82,7 +82,7 @@
             is.weight
         );
     }
-    assert_eq!(statistics.pace, passed_on.pace);
+    assert_eq!(statistics.fleet, passed_on.fleet);
 }
 
 /// The process that takes over must also eject a failing worker, unless that worker has restarted meanwhile.
@@ -236,7 +236,7 @@
     let weight = |l: &Statistics<u32>| l.kinds[0].1.speed.weight();
     assert!(weight(&minute) > 0.85 * weight(&now) && weight(&day) < 0.01 * weight(&now));
     assert!((minute.kinds[0].1.speed.speed - now.kinds[0].1.speed.speed).abs() < 1e-9);
-    let arrivals = |l: &Statistics<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.per_s);
+    let arrivals = |l: &Statistics<u32>| l.fleet.as_ref().map_or(0.0, |p| p.arrivals.per_s);
     assert!(arrivals(&now) > 1.0 && arrivals(&minute) < 1e-4 * arrivals(&now));
     // Statistics of a clock that runs ahead count as current, and no ejection lasts longer than the maximum.
     let mut ahead = statistics.clone();
@@ -368,7 +368,7 @@
     );
     assert!(
         rejection(&|l| l
-            .pace
+            .fleet
             .as_mut()
             .expect("the statistics of the fleet are present")
             .wait_window = 0.0)
@@ -376,7 +376,7 @@
     );
     assert!(
         rejection(&|l| l
-            .pace
+            .fleet
             .as_mut()
             .expect("the statistics of the fleet are present")
             .trusted_idle = 2.0 * UNLIMITED)
@@ -411,7 +411,7 @@
         statistics.kinds[0].1.slots = slots;
         let w = &mut statistics.workers[0].1;
         (w.failure_rate, w.start_delay, w.ejected_until) = (failure, start_delay, ejected_until);
-        statistics.pace.as_mut().expect("the statistics of the fleet are present").wait_window = window;
+        statistics.fleet.as_mut().expect("the statistics of the fleet are present").wait_window = window;
         prop_assert_eq!(statistics.check(), Ok(()));
         let mut new = old.successor(settings(), &workers);
         merge(&mut new, statistics);
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -134,7 +134,7 @@
             )),
             Ok(statistics) => {
                 let numbered = self.with_ids(statistics);
-                if numbered.pace.is_some() {
+                if numbered.fleet.is_some() {
                     let (kinds, classes, machines) = (
                         numbered.kinds.len(),
                         numbered.classes.len(),
