--- a/crates/decisions/src/dispatcher/displacement.rs
+++ b/crates/decisions/src/dispatcher/displacement.rs
@@ -2,7 +2,7 @@
 //! loss formula.
 
 use super::tuning::LATE_STEP;
-use crate::runs::KEEP;
+use crate::runs::RUN_TIME_DECAY;
 use crate::statistics::Demand;
 
 /// Recent demand and the recent rejection rate.
@@ -17,8 +17,8 @@
 impl Displacement {
     /// Records a request with this value; `work` is its work multiplied by its slots.
     pub(super) fn record_request(&mut self, value: f64, work: f64) {
-        self.demand.value = self.demand.value * KEEP + value;
-        self.demand.work = self.demand.work * KEEP + work;
+        self.demand.value = self.demand.value * RUN_TIME_DECAY + value;
+        self.demand.work = self.demand.work * RUN_TIME_DECAY + work;
     }
 
     /// Expected value of the requests that a request with this work and these slots displaces. The probability of
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -7,7 +7,7 @@
 pub type Time = u64;
 
 /// Decay factor of the weight of older run times at each new one.
-pub const KEEP: f64 = 0.99;
+pub const RUN_TIME_DECAY: f64 = 0.99;
 /// Weight of the neutral prior (speed 1) of a kind's speed, as a number of run times.
 const PRIOR_WEIGHT: f64 = 5.0;
 
@@ -177,11 +177,11 @@
         (class.work, class.log.sum / class.log.weight)
     };
     class.work = EstimatedRuns {
-        run: old.run * KEEP + at_mean_speed,
-        estimate: old.estimate * KEEP + base,
+        run: old.run * RUN_TIME_DECAY + at_mean_speed,
+        estimate: old.estimate * RUN_TIME_DECAY + base,
     };
-    class.log.add(KEEP, log + speed.ln());
-    all.add(KEEP, at_mean_speed);
-    kind.log.add(KEEP, log - mean);
+    class.log.add(RUN_TIME_DECAY, log + speed.ln());
+    all.add(RUN_TIME_DECAY, at_mean_speed);
+    kind.log.add(RUN_TIME_DECAY, log - mean);
     kind.speed = (-kind.log.sum / (kind.log.weight + PRIOR_WEIGHT)).exp();
 }
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -4,7 +4,7 @@
 
 use crate::worker::{Worker, WorkerId, is_rack};
 use crate::workers::Workers;
-use indigofold_placement::runs::{KEEP, Speed, WeightedSum, Work, learn};
+use indigofold_placement::runs::{RUN_TIME_DECAY, Speed, WeightedSum, Work, learn};
 use indigofold_placement::solve::solve;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
@@ -392,11 +392,11 @@
         let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
             let error = error(self.by_mean.mean(None));
-            self.errors_by_mean.add(KEEP, error);
+            self.errors_by_mean.add(RUN_TIME_DECAY, error);
         }
         if self.by_estimate.weight() > 0.0 && estimate.is_some() {
             let error = error(self.by_estimate.mean(estimate));
-            self.errors_by_estimate.add(KEEP, error);
+            self.errors_by_estimate.add(RUN_TIME_DECAY, error);
         }
     }
 
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -2,7 +2,7 @@
 //! first, so that the jobs that end in time have the highest total value.
 
 use crate::queue::Prospect;
-use indigofold_placement::runs::{KEEP, WeightedSum};
+use indigofold_placement::runs::{RUN_TIME_DECAY, WeightedSum};
 use indigofold_protocol::job::{Resources, Step};
 use rustc_hash::FxHashMap;
 
@@ -26,7 +26,7 @@
 impl MeanWork {
     /// Adds a job's work to the mean; returns the job's value.
     fn value(&mut self, work: f64) -> f64 {
-        self.0.add(KEEP, work);
+        self.0.add(RUN_TIME_DECAY, work);
         let mean = self.0.sum / self.0.weight;
         let relative_work = if mean > 0.0 { work / mean } else { 1.0 };
         (VALUE_BASE + VALUE_BY_WORK * relative_work).min(VALUE_MAX)
