--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -313,7 +313,7 @@
         let (_, kind) = self.fleet.worker_and_kind_mut(index);
         let speed = &mut kind.speed;
         let run_time = &mut self.classes[class].run_time;
-        runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+        runs::record_run(speed, run_time, &mut self.run_times, estimate, run);
     }
 
     /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -162,7 +162,7 @@
 
 /// Updates the estimators with one run of a job of `class` on a worker of `kind`. `run` is its run time and `estimate`
 /// the client's estimate, if any, both in microseconds. `all` accumulates the run times at mean speed of all classes.
-pub fn learn(
+pub fn record_run(
     kind: &mut Speed,
     class: &mut Work,
     all: &mut WeightedSum,
--- a/crates/placement/tests/runs.rs
+++ b/crates/placement/tests/runs.rs
@@ -1,6 +1,6 @@
 //! Tests of the estimators of run times.
 
-use indigofold_placement::runs::{Speed, WeightedSum, Work, freshness, learn};
+use indigofold_placement::runs::{Speed, WeightedSum, Work, freshness, record_run};
 
 /// Number of runs recorded in a test.
 const RUNS: usize = 400;
@@ -23,7 +23,7 @@
 fn the_mean_of_a_class_follows_its_runs() {
     let (mut kind, mut class, mut all) = (Speed::default(), Work::of(1), WeightedSum::default());
     for _ in 0..RUNS {
-        learn(&mut kind, &mut class, &mut all, None, RUN_US);
+        record_run(&mut kind, &mut class, &mut all, None, RUN_US);
     }
     assert!((class.mean(None) / RUN_US as f64 - 1.0).abs() < 1e-9);
     assert!((all.sum / all.weight / RUN_US as f64 - 1.0).abs() < 1e-9);
@@ -35,8 +35,8 @@
     let (mut fast, mut slow) = (Speed::default(), Speed::default());
     let (mut class, mut all) = (Work::of(RUN_US), WeightedSum::default());
     for _ in 0..RUNS {
-        learn(&mut fast, &mut class, &mut all, None, RUN_US / 2);
-        learn(&mut slow, &mut class, &mut all, None, RUN_US * 2);
+        record_run(&mut fast, &mut class, &mut all, None, RUN_US / 2);
+        record_run(&mut slow, &mut class, &mut all, None, RUN_US * 2);
     }
     assert!((fast.speed / slow.speed - 4.0).abs() < 0.4);
 }
@@ -45,7 +45,7 @@
 fn fading_scales_the_weight_and_keeps_the_estimates() {
     let (mut kind, mut class, mut all) = (Speed::default(), Work::of(1), WeightedSum::default());
     for _ in 0..RUNS {
-        learn(&mut kind, &mut class, &mut all, Some(RUN_US / 2), RUN_US);
+        record_run(&mut kind, &mut class, &mut all, Some(RUN_US / 2), RUN_US);
     }
     let (faded_kind, faded_class) = (kind.clone().faded(0.5), class.clone().faded(0.5));
     assert_eq!(faded_kind.weight(), kind.weight() * 0.5);
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -4,7 +4,7 @@
 
 use crate::worker::{Worker, WorkerId, is_rack};
 use crate::workers::Workers;
-use indigofold_placement::runs::{RUN_TIME_DECAY, Speed, WeightedSum, Work, learn};
+use indigofold_placement::runs::{RUN_TIME_DECAY, Speed, WeightedSum, Work, record_run};
 use indigofold_placement::solve::solve;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
@@ -228,9 +228,9 @@
         let work = self.classes.entry(class.clone()).or_default();
         work.record_errors(estimate, run as f64 * speed.speed);
         let (mut same_speed, mut same_sum) = (speed.clone(), self.all_runs);
-        learn(speed, &mut work.by_mean, &mut self.all_runs, None, run);
+        record_run(speed, &mut work.by_mean, &mut self.all_runs, None, run);
         if estimate.is_some() {
-            learn(
+            record_run(
                 &mut same_speed,
                 &mut work.by_estimate,
                 &mut same_sum,
