--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -7,8 +7,9 @@
 #![warn(missing_docs)]
 
 use indigofold_decisions::api::{
-    Action, AttemptNo, Charges, Class, ClassId, Effect, Entry, Event, Group, KindId, Limits, Load,
-    Reports, Request, RequestId, Rules, Scope, Settings, Status, Time, WorkerId, WorkerState,
+    Action, AttemptNo, Charges, Class, ClassId, DeduplicationScope, Effect, Entry, Event, KindId,
+    Limits, Load, Reports, Request, RequestId, Rules, Scope, Settings, Status, Time, WorkerId,
+    WorkerState,
 };
 use indigofold_decisions::dispatcher::Dispatcher;
 
@@ -45,14 +46,14 @@
     };
     Settings {
         dispatchers: 2,
-        me: 0,
+        dispatcher_index: 0,
         zone: 0,
         granularity: 5 * MS,
         classes: vec![
             class(Effect::Safe),
-            class(keyed(Group::Cell)),
+            class(keyed(DeduplicationScope::Cell)),
             class(Effect::Unsafe),
-            class(keyed(Group::All)),
+            class(keyed(DeduplicationScope::All)),
         ],
         tenants: vec![],
         membership_pushed: true,
@@ -88,9 +89,9 @@
         initial_capacity: 0.3,
         warm_after: 8 * SEC,
         drain_grace: 500 * MS,
-        tip_multiple: 3.0,
-        tip_window: SEC,
-        resends: None,
+        warm_up_overload_multiple: 3.0,
+        warm_up_overload_window: SEC,
+        retry_budget: None,
         close_idle_within: None,
         full_may_have_run: false,
     }
@@ -211,7 +212,7 @@
     pub fn is_refused(&self, id: RequestId) -> bool {
         self.actions
             .iter()
-            .any(|action| matches!(action, Action::Refuse { request, .. } if *request == id))
+            .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
     }
 
     /// Whether the last actions answer this request with a failure.
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -18,7 +18,7 @@
     /// that may have run.
     Keyed {
         /// The workers that drop each other's repeats.
-        group: Group,
+        group: DeduplicationScope,
         /// How long repeats are dropped, counted from the send of the first attempt that may have run.
         ttl: Time,
     },
@@ -28,7 +28,7 @@
 
 /// The workers that drop repeats of a keyed request for each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers drop each other's repeats.
     All,
     /// Workers of the same zone drop each other's repeats.
@@ -144,7 +144,7 @@
 
 /// Retry budget of a dispatcher: how many attempts beyond each request's first one it may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResendBudget {
+pub struct RetryBudget {
     /// Retries allowed regardless of the traffic.
     pub free: f64,
     /// Further retries for each request accepted in the window.
@@ -167,13 +167,13 @@
     pub warm_after: Time,
     /// Time after a membership event from which on no request may be sent to a worker that the event drains or removes.
     pub drain_grace: Time,
-    /// A worker in warm-up fails when it is sent more work in [`Rules::tip_window`] than this multiple of its current
+    /// A worker in warm-up fails when it is sent more work in [`Rules::warm_up_overload_window`] than this multiple of its current
     /// capacity.
-    pub tip_multiple: f64,
-    /// Length of the window for [`Rules::tip_multiple`].
-    pub tip_window: Time,
+    pub warm_up_overload_multiple: f64,
+    /// Length of the window for [`Rules::warm_up_overload_multiple`].
+    pub warm_up_overload_window: Time,
     /// Retry budget; `None`: only [`Limits::attempts`] limits retries.
-    pub resends: Option<ResendBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Time within which idle connections to a draining worker must be closed; `None`: they may stay open.
     pub close_idle_within: Option<Time>,
     /// Whether an attempt that ended with [`Status::Full`] may have run.
@@ -186,7 +186,7 @@
     /// Number of dispatchers that send to these workers.
     pub dispatchers: u32,
     /// Index of this dispatcher, counted from 0.
-    pub me: u32,
+    pub dispatcher_index: u32,
     /// This dispatcher's zone.
     pub zone: ZoneId,
     /// Shortest time between two batches of events.
@@ -236,7 +236,7 @@
     pub zone: ZoneId,
     /// Kind of the worker.
     pub kind: KindId,
-    /// Cell of the worker. Workers of one cell drop repeats of keyed requests for each other ([`Group::Cell`]).
+    /// Cell of the worker. Workers of one cell drop repeats of keyed requests for each other ([`DeduplicationScope::Cell`]).
     pub cell: u32,
     /// Whether the worker takes requests, drains or has left.
     pub state: WorkerState,
@@ -429,7 +429,7 @@
         attempt: AttemptNo,
     },
     /// Final answer: the request is rejected, and a retry by the client is safe.
-    Refuse {
+    Reject {
         /// Id of the request.
         request: RequestId,
         /// Time after which the client is advised to retry; 0: no advice.
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -4,7 +4,8 @@
 use super::tuning::{HOME_SCAN_MISSES_MAX, LATE_MARGIN, SCAN_MISSES_MAX, WITHIN_QUOTA_FRACTION};
 use super::{Dispatcher, random_fraction};
 use crate::api::{
-    Action, AttemptNo, Class, Effect, Group, Reports, Request, RequestId, Tenant, TenantId, Time,
+    Action, AttemptNo, Class, DeduplicationScope, Effect, Reports, Request, RequestId, Tenant,
+    TenantId, Time,
 };
 use crate::transferred_job::TransferredJob;
 
@@ -20,7 +21,7 @@
         let work = self.work(open.job.class, open.job.estimate);
         let (class, over_quota, slots) = (open.job.class, open.job.over_quota, open.job.slots);
         self.retries
-            .record_accepted(now, self.settings.rules.resends);
+            .record_accepted(now, self.settings.rules.retry_budget);
         self.open.insert(id, open);
         if self.is_displaced(class, over_quota, work, slots) {
             return self.answer(now, id, out);
@@ -259,20 +260,20 @@
     }
 
     /// Gives a request its final answer: a rejection if a repeat is harmless, otherwise a failure. No other function
-    /// emits [`Action::Refuse`] or [`Action::Fail`].
+    /// emits [`Action::Reject`] or [`Action::Fail`].
     pub(super) fn answer(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
             return;
         };
         let is_idempotent = match self.settings.classes[open.job.class].effect {
             Effect::Safe => true,
-            Effect::Keyed { group, .. } => group == Group::All,
+            Effect::Keyed { group, .. } => group == DeduplicationScope::All,
             Effect::Unsafe => false,
         };
         let is_harmless = is_idempotent || open.job.attempts.iter().all(|a| a.never_ran);
         let retry_after = self.retry_after(now, open);
         out.push(if is_harmless {
-            Action::Refuse {
+            Action::Reject {
                 request: id,
                 retry_after,
             }
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -5,7 +5,7 @@
 use super::state::{Attempt, AttemptId, OpenRequest};
 use super::tuning::{LATE_MARGIN, LATE_START_WAIT, MOVE_FETCHES, MOVE_WAIT};
 use crate::affinity;
-use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
+use crate::api::{Action, AttemptNo, DeduplicationScope, Effect, Load, RequestId, Status, Time};
 use crate::runs::{self, freshness};
 use crate::transferred_job::Progress;
 
@@ -95,7 +95,8 @@
             self.fleet.add_unstarted(index, unstarted);
         }
         if attempt > 0 {
-            self.retries.record_retry(now, self.settings.rules.resends);
+            self.retries
+                .record_retry(now, self.settings.rules.retry_budget);
         }
         self.fleet.add_slots(index, open.job.slots);
         open.queued_in = None;
@@ -152,7 +153,7 @@
     /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
     pub(super) fn retries_left(&mut self, now: Time) -> f64 {
         self.retries
-            .remaining_retries(now, self.settings.rules.resends)
+            .remaining_retries(now, self.settings.rules.retry_budget)
     }
 
     /// Whether the class's effect allows a further attempt on this worker, given the first attempt that may have run.
@@ -163,10 +164,12 @@
         let first_worker = &self.fleet[first_attempt.worker].listed;
         match self.settings.classes[open.job.class].effect {
             Effect::Keyed {
-                group: Group::Zone, ..
+                group: DeduplicationScope::Zone,
+                ..
             } => first_worker.zone == worker.listed.zone,
             Effect::Keyed {
-                group: Group::Cell, ..
+                group: DeduplicationScope::Cell,
+                ..
             } => first_worker.cell == worker.listed.cell,
             _ => true,
         }
@@ -320,7 +323,7 @@
         let (_, kind) = self.fleet.worker_and_kind_mut(index);
         let speed = &mut kind.speed;
         let run_time = &mut self.classes[class].run_time;
-        runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+        runs::record_run(speed, run_time, &mut self.run_times, estimate, run);
     }
 
     /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -120,7 +120,7 @@
         let kind_workers: Vec<usize> = pool.iter().copied().filter(is_of_kind).collect();
         let count = kind_workers.len();
         let first_preferred =
-            count * self.settings.me as usize / self.settings.dispatchers as usize;
+            count * self.settings.dispatcher_index as usize / self.settings.dispatchers as usize;
         let preferred_count = (fraction * count as f64).ceil() as usize;
         for (position, &index) in kind_workers.iter().enumerate() {
             let warm_up_rate = self.warm_up_rate(now, &self.fleet[index]);
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -74,7 +74,7 @@
                 .collect(),
             in_flight: self.slots_in_flight(),
             retried_at: self.retries.latest(statistics::RETRIED_MAX),
-            pace: Some(self.fleet_statistics(now)),
+            fleet: Some(self.fleet_statistics(now)),
         }
     }
 
@@ -136,14 +136,17 @@
         }
         let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
         let in_flight: Vec<_> = other.in_flight.iter().map(slots).collect();
-        self.fleet
-            .replace_claims(other.at.min(now), self.settings.me, &in_flight);
-        if self.settings.rules.resends.is_some() {
+        self.fleet.replace_claims(
+            other.at.min(now),
+            self.settings.dispatcher_index,
+            &in_flight,
+        );
+        if self.settings.rules.retry_budget.is_some() {
             self.retries.merge(now, other.retried_at);
         }
         let has_more_samples =
             |fleet: &FleetStatistics| fleet.run_times.weight * run_weight > self.run_times.weight;
-        if let Some(fleet) = other.pace.filter(has_more_samples) {
+        if let Some(fleet) = other.fleet.filter(has_more_samples) {
             self.replace_fleet_statistics(now, &fleet, run_weight, fleet_weight);
             for (tenant, fraction) in &other.tenants {
                 self.arrivals.set_fraction(*tenant, *fraction);
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -1,5 +1,5 @@
 //! Workers in warm-up: the fraction of their capacity that they have, and the work that may be sent to them. A budget
-//! of work in any window limits that work (`tip_multiple` and `tip_window` of [`Rules`](crate::api::Rules)).
+//! of work in any window limits that work (`warm_up_overload_multiple` and `warm_up_overload_window` of [`Rules`](crate::api::Rules)).
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -36,8 +36,9 @@
         }
         let rules = &self.settings.rules;
         let dispatchers = u64::from(self.settings.dispatchers);
-        let budget = rules.tip_multiple * WARM_UP_USE * self.capacity(worker);
-        let initial_work = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
+        let budget = rules.warm_up_overload_multiple * WARM_UP_USE * self.capacity(worker);
+        let initial_work =
+            budget * rules.initial_capacity * rules.warm_up_overload_window as f64 / WARM_UP_JOBS;
         let affordable_jobs =
             (initial_work * self.run_times.weight / self.run_times.sum.max(1.0)) as u64;
         let part_count = affordable_jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
@@ -45,8 +46,9 @@
         // the same index.
         let first_dispatcher =
             u64::from(worker.listed.worker).wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 32;
-        let has_part =
-            first_dispatcher.wrapping_sub(u64::from(self.settings.me)) % dispatchers < part_count;
+        let has_part = first_dispatcher.wrapping_sub(u64::from(self.settings.dispatcher_index))
+            % dispatchers
+            < part_count;
         Some(if has_part {
             budget * fraction / part_count as f64
         } else {
@@ -62,7 +64,8 @@
         };
         let budget = worker.warm_up_budget;
         let accumulated_budget = budget.value + rate * now.saturating_sub(budget.at) as f64;
-        let max_accumulated = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
+        let max_accumulated =
+            rate * self.settings.rules.warm_up_overload_window as f64 / WARM_UP_JOBS;
         accumulated_budget.min(work.max(max_accumulated))
     }
 }
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -94,7 +94,7 @@
         "a started attempt is not moved"
     );
     let mut no_retries = settings_with(false, true);
-    no_retries.rules.resends = Some(ResendBudget {
+    no_retries.rules.retry_budget = Some(RetryBudget {
         free: 0.0,
         ratio: 0.0,
         window: None,
@@ -115,7 +115,7 @@
     for me in 0..40 {
         let mut harness = Harness::new(
             Settings {
-                me,
+                dispatcher_index: me,
                 ..settings_with(false, true)
             },
             &[entry(1, 0), entry(3, 0)],
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -76,7 +76,7 @@
                 Action::Send {
                     request, worker, ..
                 } => self.check_send(now, request, worker),
-                Action::Refuse { request, .. } => self.check_answer(now, request, true),
+                Action::Reject { request, .. } => self.check_answer(now, request, true),
                 Action::Fail { request } => self.check_answer(now, request, false),
                 Action::Cancel { request, attempt } => {
                     assert!(self.settings.limits.cancel);
@@ -125,7 +125,7 @@
         let is_keyed_everywhere = matches!(
             effect,
             Effect::Keyed {
-                group: Group::All,
+                group: DeduplicationScope::All,
                 ..
             }
         );
@@ -201,7 +201,7 @@
 
     fn check_retry_budget(&mut self, now: Time, request: RequestId) {
         let number = self.requests[&request].attempts.len();
-        let Some(budget) = self.settings.rules.resends.filter(|_| number > 0) else {
+        let Some(budget) = self.settings.rules.retry_budget.filter(|_| number > 0) else {
             return;
         };
         let is_recent = |at: &Time| budget.window.is_none_or(|window| *at + window >= now);
@@ -242,11 +242,11 @@
                     "a retry after the lifetime of the key"
                 );
                 assert!(
-                    group != Group::Cell || first_entry.cell == entry.cell,
+                    group != DeduplicationScope::Cell || first_entry.cell == entry.cell,
                     "a retry in another cell"
                 );
                 assert!(
-                    group != Group::Zone || first_entry.zone == entry.zone,
+                    group != DeduplicationScope::Zone || first_entry.zone == entry.zone,
                     "a retry in another zone"
                 );
             }
@@ -266,10 +266,12 @@
         sends.push(now);
         let recent = sends
             .iter()
-            .filter(|at| **at + rules.tip_window > now)
+            .filter(|at| **at + rules.warm_up_overload_window > now)
             .count() as f64;
         let dispatchers = self.settings.dispatchers.max(1) as f64;
-        let budget = rules.tip_multiple * fraction * 8.0 * rules.tip_window as f64 / dispatchers;
+        let budget =
+            rules.warm_up_overload_multiple * fraction * 8.0 * rules.warm_up_overload_window as f64
+                / dispatchers;
         // Actual runs may be much shorter, which the module learns. With few dispatchers, the assumption of 8 slots
         // leaves enough tolerance for that. Small parts of a budget are checked by the test
         // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -4,8 +4,8 @@
 use super::error::{ClassSnafu, MissingSnafu, NotABooleanSnafu};
 use super::json::Json;
 use crate::api::{
-    Charges, Class, Effect, Group, KindId, Limits, Reports, ResendBudget, Rules, Settings, Tenant,
-    Time, ZoneId,
+    Charges, Class, DeduplicationScope, Effect, KindId, Limits, Reports, RetryBudget, Rules,
+    Settings, Tenant, Time, ZoneId,
 };
 use simd_json::prelude::*;
 use snafu::{OptionExt, ResultExt};
@@ -34,7 +34,7 @@
     });
     Ok(Settings {
         dispatchers: env.within("balancers", 1.0, f64::INFINITY)? as u32,
-        me: env.within("me", 0.0, f64::INFINITY)? as u32,
+        dispatcher_index: env.within("me", 0.0, f64::INFINITY)? as u32,
         zone,
         granularity: env.number_or("granularity", 1000.0).max(1.0) as Time,
         classes,
@@ -82,9 +82,9 @@
 /// Reads the effect of a second run of a job of this class.
 fn effect(c: Json<'_>) -> Parse<Effect> {
     let groups = [
-        ("all", Group::All),
-        ("zone", Group::Zone),
-        ("cell", Group::Cell),
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
     ];
     match c.one_of("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
         Some(0) => Ok(Effect::Safe),
@@ -134,9 +134,9 @@
         initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
         warm_after: rules.time("warmAfter")?,
         drain_grace: rules.time("drainGrace")?,
-        tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
-        tip_window: rules.time("overloadFor")?,
-        resends: resend_budget(rules)?,
+        warm_up_overload_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
+        warm_up_overload_window: rules.time("overloadFor")?,
+        retry_budget: retry_budget(rules)?,
         close_idle_within: rules.optional_number("letGoIn")?.map(|v| v as Time),
         full_may_have_run: match rules.at("fullMayHaveRun").0 {
             None => false,
@@ -148,14 +148,14 @@
 }
 
 /// Reads the retry budget; `None` if no part of it is set. If only a part is set, a missing number counts as 0.
-fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
+fn retry_budget(rules: Json<'_>) -> Parse<Option<RetryBudget>> {
     let (free, ratio) = (
         rules.optional_number("freeResends")?,
         rules.optional_number("resendRatio")?,
     );
     let window = rules.optional_number("countedOver")?.map(|v| v as Time);
     let stated = free.is_some() || ratio.is_some() || window.is_some();
-    let budget = ResendBudget {
+    let budget = RetryBudget {
         free: free.unwrap_or(0.0),
         ratio: ratio.unwrap_or(0.0),
         window,
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -127,7 +127,7 @@
         let (mut site, mut entries) = (self.file.site.clone(), Vec::<Entry>::new());
         for m in &self.file.machines {
             let taken = |id: WorkerId| entries.iter().any(|e| e.worker == id);
-            let worker = config::untaken(config::number(&m.machine), taken);
+            let worker = config::next_free_id(config::machine_id(&m.machine), taken);
             let (zone, kind) = (site.zones.id(&m.zone), site.kinds.id(&m.kind));
             let state = WorkerState::Left;
             entries.push(Entry {
@@ -189,7 +189,7 @@
         let (answer, answered) = bounded(1);
         let _ = self
             .core
-            .send(CoreInput::Job(request, until, Reply::To(answer)))
+            .send(CoreInput::Job(request, until, Reply::Channel(answer)))
             .await;
         let front = self.clone();
         self.net.spawn(async move {
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -152,7 +152,7 @@
     /// Applies new settings to this front end and to the decision module at the same point in the core's mailbox: jobs
     /// parsed with the old settings precede the change in the mailbox, jobs parsed with the new ones follow it.
     pub async fn reconfigure(&self, new: Site) {
-        let site = self.site.borrow().followed_by(new);
+        let site = self.site.borrow().reloaded_with(new);
         let mut input = CoreInput::Settings(Box::new(site.settings.clone()));
         while let Err(TrySendError::Full(returned)) = self.core.try_send(input) {
             input = returned;
@@ -214,8 +214,8 @@
         let hex = host.rsplit('-').next().filter(|h| h.len() == 8);
         let id = hex
             .and_then(|h| u32::from_str_radix(h, 16).ok())
-            .unwrap_or_else(|| config::number(host));
-        let id = config::untaken(id, |id| {
+            .unwrap_or_else(|| config::machine_id(host));
+        let id = config::next_free_id(id, |id| {
             self.names.borrow().values().any(|other| *other == id)
         });
         self.names.borrow_mut().insert(host.to_string(), id);
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -55,7 +55,7 @@
         if reason.after_answer() {
             front.net.linger(&link).await;
         }
-        return link.end(
+        return link.log_end(
             "submitter",
             reason,
             format_args!("messages={messages} status={status}"),
@@ -291,7 +291,7 @@
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
-    let input = CoreInput::Job(request, until, Reply::To(to));
+    let input = CoreInput::Job(request, until, Reply::Channel(to));
     if front.core.send(input).await.is_err() {
         return Ok((500, String::new(), Vec::new()));
     }
--- a/crates/indigofold/src/front/platform/clients/reading.rs
+++ b/crates/indigofold/src/front/platform/clients/reading.rs
@@ -2,7 +2,7 @@
 
 use crate::front::platform::Platform;
 use crate::net::buffer::Buffer;
-use crate::net::http::{self, Bad, Frame, Kind, Progress};
+use crate::net::http::{self, Frame, MessageError, MessageKind, Progress};
 use crate::net::set::Rank;
 use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, within};
 use std::time::Instant;
@@ -16,7 +16,7 @@
     (messages, client): (u64, bool),
     accepted: Instant,
 ) -> Result<bool, Reason> {
-    let readable = async { link.readable().await.map_err(|_| Reason::Broke) };
+    let readable = async { link.readable().await.map_err(|_| Reason::IoError) };
     let waited = match messages {
         0 => {
             let wait = front
@@ -32,7 +32,7 @@
         1 => {
             front
                 .net
-                .unless_evicted_or_drained(Rank::Once, client, readable)
+                .unless_evicted_or_drained(Rank::AnsweredOnce, client, readable)
                 .await
         }
         _ => {
@@ -59,11 +59,11 @@
 pub(super) async fn receive(
     link: &Link,
     buffer: &mut Buffer,
-) -> Result<Result<Frame, Bad>, Reason> {
+) -> Result<Result<Frame, MessageError>, Reason> {
     let mut continue_sent = false;
     loop {
         if !buffer.filled().is_empty() {
-            match http::parse_message(buffer, Kind::Request) {
+            match http::parse_message(buffer, MessageKind::Request) {
                 Err(bad) => return Ok(Err(bad)),
                 Ok(Progress::Complete(frame)) => return Ok(Ok(frame)),
                 Ok(Progress::Partial(true)) if !continue_sent => {
@@ -76,13 +76,13 @@
         }
         let empty = buffer.filled().is_empty();
         if buffer.spare().is_empty() {
-            return Ok(Err(Bad::BodyTooLarge)); // the chunk framing alone has filled the buffer
+            return Ok(Err(MessageError::BodyTooLarge)); // the chunk framing alone has filled the buffer
         }
         match link.read(buffer).await {
             Ok(0) if empty => return Err(Reason::PeerClosed),
             Ok(0) => return Err(Reason::PeerLeft),
             Ok(_) => {}
-            Err(_) => return Err(Reason::Broke),
+            Err(_) => return Err(Reason::IoError),
         }
     }
 }
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -3,7 +3,7 @@
 use super::schedule::DIAL_TIMEOUT;
 use crate::config::MembershipUpdate;
 use crate::front::platform::Platform;
-use crate::net::http::{self, Kind, Progress};
+use crate::net::http::{self, MessageKind, Progress};
 use crate::net::{Link, Reason, within};
 use async_io::Timer;
 use std::io::Write;
@@ -43,7 +43,7 @@
     /// Closes the connection, if there is one.
     pub(super) fn drop_link(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
-            link.end("list", reason, "");
+            link.log_end("list", reason, "");
         }
     }
 
@@ -78,7 +78,7 @@
             self.link = Some(self.front.net.dial(self.discovery, DIAL_TIMEOUT).await?);
         }
         let Some(link) = &self.link else {
-            return Err(Reason::Broke);
+            return Err(Reason::IoError);
         };
         let buffer = &mut self.front.net.pool.take();
         let host = self.discovery;
@@ -94,20 +94,22 @@
             link.send(buffer.filled(), DIAL_TIMEOUT).await?;
             buffer.clear();
             loop {
-                if let Progress::Complete(frame) =
-                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                if let Progress::Complete(frame) = http::parse_message(buffer, MessageKind::Answer)
+                    .map_err(|_| Reason::Malformed)?
                 {
                     return Ok(frame);
                 }
                 match link.read(buffer).await {
                     Ok(0) => return Err(Reason::PeerLeft),
                     Ok(_) => {}
-                    Err(_) => return Err(Reason::Broke),
+                    Err(_) => return Err(Reason::IoError),
                 }
             }
         };
         let frame = within(limit, Reason::Unanswered, exchange).await?;
-        let (head, body) = frame.read(buffer, Kind::Answer).ok_or(Reason::Malformed)?;
+        let (head, body) = frame
+            .read(buffer, MessageKind::Answer)
+            .ok_or(Reason::Malformed)?;
         if head.status != 200 {
             return Err(Reason::Rejected);
         }
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -3,7 +3,7 @@
 use super::super::Platform;
 use crate::ids::WorkerId;
 use crate::net::buffer::Buffer;
-use crate::net::http::{self, Head, Kind, Progress};
+use crate::net::http::{self, Head, MessageKind, Progress};
 use crate::net::{Link, Reason, within};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
 impl ConnectionGuard<'_> {
     fn end(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
-            link.end(
+            link.log_end(
                 "worker",
                 reason,
                 format_args!("machine={}", self.connections.host),
@@ -77,7 +77,7 @@
         let (trusted, limit) = {
             let site = self.front.site.borrow();
             let trusted =
-                Duration::from_micros((site.conn_idle as f64 * TRUSTED_IDLE_FRACTION) as u64);
+                Duration::from_micros((site.idle_timeout as f64 * TRUSTED_IDLE_FRACTION) as u64);
             (
                 trusted,
                 Duration::from_micros(site.settings.limits.dial_timeout.max(1)),
@@ -137,14 +137,14 @@
         if bytes_written == buffer.filled().len() {
             sent();
         }
-        write.map_err(|_| Reason::Broke)?;
+        write.map_err(|_| Reason::IoError)?;
         buffer.clear();
         loop {
             let read = async {
                 match link.read(buffer).await {
                     Ok(0) => Err(Reason::PeerLeft),
                     Ok(_) => Ok(()),
-                    Err(_) => Err(Reason::Broke),
+                    Err(_) => Err(Reason::IoError),
                 }
             };
             match deadline {
@@ -161,7 +161,8 @@
                 head.status
             }) {
                 let Progress::Complete(mut frame) =
-                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                    http::parse_message(buffer, MessageKind::Answer)
+                        .map_err(|_| Reason::Malformed)?
                 else {
                     break;
                 };
@@ -181,7 +182,7 @@
                 buffer.consume(frame.total); // an interim answer
             }
             if deadline.is_none() {
-                http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?;
+                http::parse_message(buffer, MessageKind::Answer).map_err(|_| Reason::Malformed)?;
             }
         }
     }
@@ -204,7 +205,7 @@
             return Err(reason);
         }
         let Some(link) = &guard.link else {
-            return Err(Reason::Broke);
+            return Err(Reason::IoError);
         };
         let exchange = self.exchange_on(link, buffer, observers).await;
         match &exchange {
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -11,7 +11,7 @@
 use buffer::{Buffer, Pool};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future::yield_now};
 pub use log::log;
-use set::{Direction, Rank, Seat, Set};
+use set::{ConnectionPermit, Direction, Rank, Set};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{self, ErrorKind};
@@ -106,26 +106,26 @@
         loop {
             // Nothing is reserved or evicted before a connection is waiting.
             let _ = listener.readable().await;
-            let seat = match self.set.seat(Direction::Inbound) {
-                Some(seat) => Some((seat, false)),
+            let permit = match self.set.reserve(Direction::Inbound) {
+                Some(permit) => Some((permit, false)),
                 None => {
                     let evicted = self.set.evict_one();
                     self.set
-                        .seat(Direction::InboundExtra)
-                        .map(|seat| (seat, !evicted))
+                        .reserve(Direction::InboundExtra)
+                        .map(|permit| (permit, !evicted))
                 }
             };
-            let Some((seat, extra)) = seat else {
+            let Some((permit, extra)) = permit else {
                 Timer::after(RETRY_INTERVAL).await;
                 continue;
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.set.evict_if_crowded(Instant::now());
-                    return Link::new(stream, seat).as_extra(extra);
+                    return Link::new(stream, permit).as_extra(extra);
                 }
                 Err(error) => {
-                    drop(seat);
+                    drop(permit);
                     log(format_args!("accept failed: {error}"));
                     if !matches!(
                         error.kind(),
@@ -182,7 +182,7 @@
         work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         let registration = self.set.register_evictable(rank, client);
-        if matches!(rank, Rank::Once | Rank::Used) {
+        if matches!(rank, Rank::AnsweredOnce | Rank::Used) {
             self.set.evict_if_crowded(Instant::now());
         }
         let evicted = async {
@@ -225,7 +225,7 @@
             let mut left = MAX_LINGER_BYTES;
             while left > 0 {
                 // A buffer is held only while there is something to read.
-                link.readable().await.map_err(|_| Reason::Broke)?;
+                link.readable().await.map_err(|_| Reason::IoError)?;
                 let mut buffer = self.pool.take();
                 match link.read(&mut buffer).await {
                     Ok(count @ 1..) => left = left.saturating_sub(count),
@@ -250,7 +250,7 @@
     ///
     /// [`Reason::NoCapacity`] if no descriptor is free, [`Reason::Refused`] or [`Reason::DialTimeout`].
     pub async fn dial(&self, to: SocketAddr, limit: Duration) -> Result<Link, Reason> {
-        let Some(seat) = self.set.seat(Direction::Outbound) else {
+        let Some(permit) = self.set.reserve(Direction::Outbound) else {
             self.set.evict_one();
             return Err(Reason::NoCapacity);
         };
@@ -262,7 +262,7 @@
         let stream = dial
             .or(async { after(limit, Reason::DialTimeout).await })
             .await?;
-        Ok(Link::new(stream, seat))
+        Ok(Link::new(stream, permit))
     }
 }
 
@@ -292,7 +292,7 @@
     /// The other side closed it within a message or while an answer was due.
     PeerLeft,
     /// An I/O error occurred on it.
-    Broke,
+    IoError,
     /// This side closed it after a message, as one of the sides had requested.
     Done,
     /// The input was malformed.
@@ -343,7 +343,7 @@
         match self {
             Reason::PeerClosed => "peer-closed",
             Reason::PeerLeft => "peer-left",
-            Reason::Broke => "broke",
+            Reason::IoError => "broke",
             Reason::Done => "done",
             Reason::Malformed => "malformed",
             Reason::NothingSent => "silent",
@@ -370,18 +370,18 @@
     stream: Async<TcpStream>,
     extra: bool,
     overrun: Cell<bool>,
-    _seat: Seat,
+    _permit: ConnectionPermit,
 }
 
 impl Link {
     /// Wraps a stream and disables Nagle's algorithm on it.
-    pub fn new(stream: Async<TcpStream>, seat: Seat) -> Self {
+    pub fn new(stream: Async<TcpStream>, permit: ConnectionPermit) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Link {
             stream,
             extra: false,
             overrun: Cell::new(false),
-            _seat: seat,
+            _permit: permit,
         }
     }
 
@@ -421,7 +421,7 @@
         // The socket is checked directly first: the poller's event comes one turn later, and by then the job of a client that
         // has disconnected could already be sent to a machine.
         if rest.is_none() && !self.stale() && self.readable().await.is_err() {
-            return Reason::Broke;
+            return Reason::IoError;
         }
         let buffer = rest.get_or_insert_with(|| pool.take());
         loop {
@@ -437,7 +437,7 @@
             match self.read(buffer).await {
                 Ok(0) => return Reason::PeerLeft,
                 Ok(_) => {}
-                Err(_) => return Reason::Broke,
+                Err(_) => return Reason::IoError,
             }
         }
     }
@@ -493,13 +493,13 @@
     ///
     /// # Errors
     ///
-    /// [`Reason::Broke`] on an I/O error, [`Reason::Stalled`] if the limit passes first.
+    /// [`Reason::IoError`] on an I/O error, [`Reason::Stalled`] if the limit passes first.
     pub async fn send(&self, bytes: &[u8], limit: Duration) -> Result<(), Reason> {
         let mut bytes_written = 0;
         let write = async {
             self.write(bytes, &mut bytes_written)
                 .await
-                .map_err(|_| Reason::Broke)
+                .map_err(|_| Reason::IoError)
         };
         within(limit, Reason::Stalled, write).await
     }
@@ -511,12 +511,12 @@
 
     /// Returns the stream, so that it can be passed to another process, and its place in the set, which is released when the
     /// second value is dropped.
-    pub fn into_stream(self) -> Option<(TcpStream, Seat)> {
-        Some((self.stream.into_inner().ok()?, self._seat))
+    pub fn into_stream(self) -> Option<(TcpStream, ConnectionPermit)> {
+        Some((self.stream.into_inner().ok()?, self._permit))
     }
 
     /// Writes the log line of a connection that has ended and closes it.
-    pub fn end(self, side: &str, reason: Reason, about: impl Display) {
+    pub fn log_end(self, side: &str, reason: Reason, about: impl Display) {
         log(format_args!(
             "conn side={side} peer={} reason={} {about}",
             self.peer(),
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -48,7 +48,7 @@
     /// The first message is not complete.
     PartialMessage,
     /// The connection is idle after its first answer, and may never be used again.
-    Once,
+    AnsweredOnce,
     /// The connection was just accepted, and its first message may be on its way.
     Fresh,
     /// The connection has been used repeatedly, and is idle between two messages.
@@ -69,7 +69,7 @@
 }
 
 /// A connection's place in the set, released when dropped.
-pub struct Seat(Rc<Set>, Direction);
+pub struct ConnectionPermit(Rc<Set>, Direction);
 
 /// A connection's registration for eviction, withdrawn when dropped.
 pub struct EvictionHandle {
@@ -129,7 +129,7 @@
     }
 
     /// Reserves a place for a connection; `None` if the limit is reached.
-    pub fn seat(self: &Rc<Self>, direction: Direction) -> Option<Seat> {
+    pub fn reserve(self: &Rc<Self>, direction: Direction) -> Option<ConnectionPermit> {
         if !self.has_capacity(direction) {
             return None;
         }
@@ -137,7 +137,7 @@
         if direction != Direction::Outbound {
             self.accepted.set(self.accepted.get() + 1);
         }
-        Some(Seat(self.clone(), direction))
+        Some(ConnectionPermit(self.clone(), direction))
     }
 
     /// Evicts the connection of the lowest rank, up to [`Rank::Used`]. Returns false if there is none.
@@ -174,7 +174,7 @@
                 .filter(|(_, o)| now.saturating_duration_since(o.since) >= IDLE_BEFORE_EVICTION)
                 .map(|(key, _)| *key)
         };
-        let chosen = idle_long_enough(Rank::Once).or_else(|| idle_long_enough(Rank::Used));
+        let chosen = idle_long_enough(Rank::AnsweredOnce).or_else(|| idle_long_enough(Rank::Used));
         let _ = chosen
             .and_then(|key| evictable.remove(&key))
             .map(|entry| entry.evict.try_send(()));
@@ -246,7 +246,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         if self.1 != Direction::Outbound {
--- a/crates/protocol/src/worker/run_end.rs
+++ b/crates/protocol/src/worker/run_end.rs
@@ -16,9 +16,11 @@
     #[serde(rename = "lapsed")]
     Expired,
     /// Another member of the run's gang ended.
-    Broken,
+    #[serde(rename = "broken")]
+    GangMemberEnded,
     /// The other members of the run's gang did not start in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// The worker rejected the start; the run never began.
     Refused,
 }
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -4,7 +4,7 @@
 
 use crate::worker::{Worker, WorkerId, is_rack};
 use crate::workers::Workers;
-use indigofold_placement::runs::{KEEP, Speed, WeightedSum, Work, learn};
+use indigofold_placement::runs::{RUN_TIME_DECAY, Speed, WeightedSum, Work, record_run};
 use indigofold_placement::solve::solve;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
@@ -236,9 +236,9 @@
         let work = self.classes.entry(class.clone()).or_default();
         work.record_errors(estimate, run as f64 * speed.speed);
         let (mut discarded_speed, mut discarded_sum) = (speed.clone(), self.all_runs);
-        learn(speed, &mut work.by_mean, &mut self.all_runs, None, run);
+        record_run(speed, &mut work.by_mean, &mut self.all_runs, None, run);
         if estimate.is_some() {
-            learn(
+            record_run(
                 &mut discarded_speed,
                 &mut work.by_estimate,
                 &mut discarded_sum,
@@ -400,11 +400,11 @@
         let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
             let error = error(self.by_mean.mean(None));
-            self.errors_by_mean.add(KEEP, error);
+            self.errors_by_mean.add(RUN_TIME_DECAY, error);
         }
         if self.by_estimate.weight() > 0.0 && estimate.is_some() {
             let error = error(self.by_estimate.mean(estimate));
-            self.errors_by_estimate.add(KEEP, error);
+            self.errors_by_estimate.add(RUN_TIME_DECAY, error);
         }
     }
 
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -121,7 +121,7 @@
                 "{} waited for the other gang members in vain, without any fault",
                 run.task
             );
-            self.nodes[node].end(run, RunEnd::Alone, String::new());
+            self.nodes[node].end(run, RunEnd::GangIncomplete, String::new());
         }
     }
 
@@ -135,7 +135,7 @@
     fn break_gang(&mut self, run: RunId, gang: bool) {
         if gang {
             for (node, member) in self.gang_members(run) {
-                self.nodes[node].end(member, RunEnd::Broken, String::new());
+                self.nodes[node].end(member, RunEnd::GangMemberEnded, String::new());
             }
         }
     }
