--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -11,26 +11,26 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// How a time is written.
+/// The format of a timestamp.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum TimeForm {
     /// ISO 8601 text, with or without an offset.
     #[default]
     Iso,
-    /// `10/Oct/2000:13:55:36 -0700`.
+    /// Common Log Format: `10/Oct/2000:13:55:36 -0700`.
     Clf,
-    /// Seconds since 1970, perhaps with decimals.
+    /// Seconds since 1970, optionally with a fraction.
     Seconds,
     /// Milliseconds since 1970.
     Millis,
     /// Microseconds since 1970.
     Micros,
-    /// Text by a pattern of `strftime`.
+    /// Text in the format of a `strftime` pattern.
     Pattern(String),
 }
 
-/// A unit of durations.
+/// The unit of a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
@@ -43,37 +43,37 @@
     Us,
 }
 
-/// Where each field stands in a JSON line, as a JSON Pointer (RFC 6901) such as `/request/path`. Only `time` and
-/// `target` must be named.
+/// The location of each field in a JSON line, as a JSON Pointer (RFC 6901) such as `/request/path`. Only `time` and
+/// `target` are required.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fields {
-    /// The time.
+    /// Time of the request.
     pub time: String,
-    /// How it is written.
+    /// Format of the time.
     #[serde(default)]
     pub time_form: TimeForm,
-    /// The time is that of the request's end.
+    /// Whether the time is that of the request's end; otherwise it is that of its start.
     #[serde(default)]
     pub time_is_end: bool,
-    /// Path and query, or a whole URL.
+    /// Path and query, or a complete URL.
     pub target: String,
-    /// The method.
+    /// HTTP method.
     pub method: Option<String>,
-    /// The status.
+    /// HTTP status.
     pub status: Option<String>,
-    /// How long it took.
+    /// Duration of the request.
     pub took: Option<String>,
-    /// ... in this unit.
+    /// Unit of the duration.
     #[serde(default)]
     pub took_unit: Unit,
-    /// The address that was connected.
+    /// Address of the connected peer.
     pub peer: Option<String>,
-    /// The authenticated user.
+    /// Authenticated user.
     pub user: Option<String>,
-    /// Bytes of the request's body.
+    /// Size of the request body in bytes.
     pub received: Option<String>,
-    /// Headers, each with its place.
+    /// Locations of request headers by their names.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
 }
--- a/crates/traffic/src/mapping/file.rs
+++ b/crates/traffic/src/mapping/file.rs
@@ -6,61 +6,61 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The mapping file.
+/// A mapping file: the rules that turn records into jobs.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct File {
-    /// The form of this file: 1.
+    /// Version of the file format, always 1.
     #[schemars(range(min = 1, max = 1))]
     pub version: u32,
-    /// The time zone of times without an offset, by its IANA name.
+    /// IANA name of the time zone of timestamps without an offset.
     #[serde(default = "utc")]
     pub zone: String,
-    /// Networks of proxies whose X-Forwarded-For is believed.
+    /// Networks of proxies whose X-Forwarded-For header is trusted.
     #[serde(default)]
     pub trusted: Vec<String>,
-    /// Networks by name; the longest prefix counts.
+    /// Networks of clients by name. If several contain an address, the longest prefix applies.
     #[serde(default)]
     pub networks: BTreeMap<String, Vec<String>>,
-    /// Where the fields stand in JSON lines.
+    /// Locations of the fields in JSON lines.
     pub json: Option<Fields>,
-    /// Which records are jobs at all; without one, all that come by POST.
+    /// Which records are jobs. By default, all POST requests are.
     #[serde(default)]
     pub jobs: Jobs,
-    /// What names the class. The first rule that yields a name counts.
+    /// Rules for the class. As for all rules, the first one that yields a value applies.
     #[schemars(length(min = 1))]
     pub class: Vec<Rule>,
-    /// What names the parish. None need be found.
+    /// Rules for the parish (tenant). It is optional unless `parish-required` is set.
     #[serde(default)]
     pub parish: Vec<Rule>,
-    /// A record without a parish is rejected.
+    /// Whether records without a parish are rejected.
     #[serde(default)]
     pub parish_required: bool,
-    /// What the job is about.
+    /// Rules for the subject: the object that the job is about.
     #[serde(default)]
     pub subject: Vec<Rule>,
-    /// The idempotency key.
+    /// Rules for the idempotency key.
     #[serde(default)]
     pub key: Vec<Rule>,
-    /// A request's id. A record read twice is known by it; where clients keep it, so are retries.
+    /// Rules for the request id. Records read twice are recognised by it, and with `id-kept` retries as well.
     #[serde(default)]
     pub id: Vec<Rule>,
-    /// Clients keep the id over their retries.
+    /// Whether clients send the same id with their retries.
     #[serde(default)]
     pub id_kept: bool,
-    /// What a client marks its retries with: any value but "", "0" and "false" is a mark.
+    /// Rules for the mark of retries: any value except "", "0" and "false" marks a request as a retry.
     #[serde(default, rename = "retry-mark")]
     pub retry_marker: Vec<Rule>,
-    /// How long the client says that it waits, in milliseconds.
+    /// Rules for the deadline: how long the client waits, in milliseconds.
     #[serde(default)]
     pub deadline_ms: Vec<Rule>,
-    /// ... where it does not say: by class.
+    /// Default deadlines by class, in milliseconds, for requests without one.
     #[serde(default)]
     pub deadline_of: BTreeMap<String, u64>,
-    /// Slots that the job takes.
+    /// Rules for the number of slots that the job occupies.
     #[serde(default)]
     pub slots: Vec<Rule>,
-    /// Retries that carry neither mark nor key.
+    /// How retries with neither mark nor key are recognised.
     #[serde(default)]
     pub guess: Guess,
 }
@@ -73,13 +73,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Jobs {
-    /// Methods; empty: all.
+    /// HTTP methods of jobs; empty: all methods.
     #[serde(default = "post")]
     pub methods: Vec<String>,
-    /// Beginnings of paths; empty: all.
+    /// Path prefixes of jobs; empty: all paths.
     #[serde(default)]
     pub paths: Vec<String>,
-    /// Beginnings of paths that are none after all.
+    /// Path prefixes of requests that are not jobs, even if they match `paths`.
     #[serde(default)]
     pub not_paths: Vec<String>,
 }
@@ -98,17 +98,18 @@
     }
 }
 
-/// How retries without mark and key are known: the same client asks for the same after a try that was not served.
+/// How retries without mark and key are recognised: the same client sends a request of the same class about the same subject
+/// after an attempt that failed.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Guess {
-    /// ... so long after that try's end, in milliseconds. 0: nothing is guessed.
+    /// Maximum time between the end of the failed attempt and the retry, in milliseconds. 0: no retries are guessed.
     #[serde(default = "within")]
     pub within_ms: u64,
-    /// Tries of one job at the most, the first included.
+    /// Maximum number of attempts of one job, including the first.
     #[serde(default = "max_attempts", rename = "tries")]
     pub max_attempts: u32,
-    /// Where `retry-mark` has rules, what has no mark is taken for no retry. With this, it may be one all the same.
+    /// Whether requests without a mark can be retries even if `retry-mark` has rules.
     #[serde(default)]
     pub unmarked_too: bool,
 }
@@ -131,43 +132,43 @@
     }
 }
 
-/// One way to a value.
+/// A rule that extracts a value from a record.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Rule {
-    /// Where the value is taken from.
+    /// Source of the value.
     pub from: From,
-    /// Other names for values. With it, a value that it lacks yields nothing, unless `others` is set.
+    /// Replacements for values. If given, values that are not listed are ignored unless `others` is set.
     #[serde(default)]
     pub names: BTreeMap<String, String>,
-    /// With `names`: values that it lacks are taken as they are.
+    /// Whether values that are not listed in `names` are used unchanged.
     #[serde(default)]
     pub others: bool,
 }
 
-/// Where a value is taken from.
+/// The source of a value.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum From {
-    /// A segment of the path, from 0; from -1 backwards.
+    /// A segment of the path: 0 is the first, -1 the last.
     Segment(i32),
-    /// The first group of a regular expression on the path, or all that it matches.
+    /// The first group of a regular expression matched against the path, or the whole match if it has no group.
     Path(String),
-    /// A parameter of the query.
+    /// A query parameter.
     Query(String),
-    /// A header, whose name may be written in any case.
+    /// A request header; its name is case-insensitive.
     Header(String),
-    /// One of the `name=value` pairs in a header, divided by commas: the header, then the name.
+    /// A value from a header that contains `name=value` pairs separated by commas: the header, then the name.
     Pair(String, String),
     /// A cookie.
     Cookie(String),
     /// The authenticated user.
     User,
-    /// The name of the client's network, among `networks`.
+    /// The name of the client's network, from `networks`.
     Network,
     /// The client's address.
     Address,
-    /// Always this.
+    /// A fixed value.
     Always(String),
 }
 
