--- a/crates/decisions/src/dispatcher/kind_weights.rs
+++ b/crates/decisions/src/dispatcher/kind_weights.rs
@@ -1,4 +1,5 @@
-//! The probability that each kind is drawn: `p_k` of problem (1).
+//! The probability `p_k` that each kind of workers is drawn. It is the solution of the optimisation problem (1) of
+//! hybrid SQ(d), which [`indigofold_placement::solve::solve`] states and solves.
 
 use crate::affinity::SmoothedWeights;
 
--- a/crates/scheduler/src/cluster/queue_order.rs
+++ b/crates/scheduler/src/cluster/queue_order.rs
@@ -3,7 +3,7 @@
 use crate::cluster::Cluster;
 use crate::queue::QueueKey;
 
-/// Most steps at the head of each queue that are repositioned in one call.
+/// Maximum number of steps at the head of each queue that are repositioned in one call.
 const REPOSITIONED_MAX: usize = 2_000;
 
 impl Cluster {
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -18,9 +18,9 @@
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use std::collections::BTreeMap;
 
-/// Most tasks in the open repetitions of one job; one repetition may always be open, however many tasks it has.
+/// Maximum number of tasks in the open repetitions of one job; one repetition may always be open, however many tasks it has.
 const OPEN_TASKS_PER_JOB_MAX: usize = 10_000;
-/// Most workers remembered as having failed tasks of one job.
+/// Maximum number of workers remembered as having failed tasks of one job.
 const FAILED_ON_MAX: usize = 4;
 
 /// A job, from its acceptance until its state is removed after its end.
@@ -257,7 +257,7 @@
         self.definition.spec.repeat_count.max(1)
     }
 
-    /// Most repetitions of the job that may be open at a time.
+    /// Maximum number of repetitions of the job that may be open at a time.
     pub(crate) fn repeats_open_max(&self) -> usize {
         let tasks: usize = self
             .definition
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -116,8 +116,8 @@
         );
     }
 
-    /// Checks that a task has one run at a time and none after its `done` was acknowledged. For a speculative task
-    /// several runs are allowed, and starts up to a second after the acknowledgement.
+    /// Checks that a task has at most one run at a time, and that none starts after its `done` was acknowledged. A
+    /// speculative task may have several runs at once, and these may start less than 1 s after the acknowledgement.
     fn check_single_run(&self, run: RunId, speculative: bool) {
         if speculative {
             let acknowledged_ms = self
