--- a/crates/data-plane/src/core_link.rs
+++ b/crates/data-plane/src/core_link.rs
@@ -150,14 +150,14 @@
     pub fn handle_frame(&mut self, now_ms: u64, connection: ConnectionId) {
         let attachment = self.attachment.as_mut();
         if let Some(attachment) = attachment.filter(|head| head.connection() == connection) {
-            attachment.handle_frame(now_ms);
+            attachment.record_frame_received(now_ms);
         }
     }
 
     /// Records that the head owes a reply: a request was sent to it, or a reply is still missing after it sent a frame.
     pub fn handle_request_sent(&mut self, now_ms: u64) {
         if let Some(attachment) = &mut self.attachment {
-            attachment.handle_request_sent(now_ms);
+            attachment.record_request_sent(now_ms);
         }
     }
 
--- a/crates/data-plane/src/core_link/attachment.rs
+++ b/crates/data-plane/src/core_link/attachment.rs
@@ -86,14 +86,14 @@
     }
 
     /// Records a frame from the head. Any frame counts as a reply, since it shows that the head responds.
-    pub(super) fn handle_frame(&mut self, now_ms: u64) {
+    pub(super) fn record_frame_received(&mut self, now_ms: u64) {
         self.owed_since_ms = None;
         self.last_frame_ms = now_ms;
         self.was_probed = false;
     }
 
     /// Records that the head owes a reply, from now on unless it has already owed one for longer.
-    pub(super) fn handle_request_sent(&mut self, now_ms: u64) {
+    pub(super) fn record_request_sent(&mut self, now_ms: u64) {
         self.owed_since_ms.get_or_insert(now_ms);
     }
 
@@ -114,7 +114,7 @@
         let is_due = self.probe_at_ms().is_some_and(|due_ms| due_ms <= now_ms);
         if is_due {
             self.was_probed = true;
-            self.handle_request_sent(now_ms);
+            self.record_request_sent(now_ms);
         }
         is_due
     }
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -106,7 +106,7 @@
         let tenants = settings.tenants.iter().map(|tenant| tenant.fraction);
         Dispatcher {
             rng: Some(Pcg64Mcg::seed_from_u64(seed)),
-            classes: settings.classes.iter().map(ClassStats::of).collect(),
+            classes: settings.classes.iter().map(ClassStats::initial).collect(),
             queues: RequestQueues::of_classes(settings.classes.len()),
             arrivals: Arrivals::new(tenants, now),
             membership_request: MembershipRequest::new(now, settings.membership_pushed),
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -26,7 +26,7 @@
             return;
         }
         let stats = current_index.map_or_else(
-            || ClassStats::of(&class),
+            || ClassStats::initial(&class),
             |index| self.classes[index].clone(),
         );
         let index = self.unused_class_index();
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -25,7 +25,7 @@
 
 impl ClassStats {
     /// Creates the initial statistics of a class: until a run time is known, a job is assumed to run for its class's latency target.
-    pub(super) fn of(class: &Class) -> Self {
+    pub(super) fn initial(class: &Class) -> Self {
         ClassStats {
             run_time: Work::of(class.latency_target),
             longest_client_wait: 0,
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -12,7 +12,7 @@
 use indigofold_protocol::worker::WorkerState;
 
 /// Period of the checks, in milliseconds.
-pub(crate) const CHECK_MS: u64 = 300;
+pub(crate) const CHECK_INTERVAL_MS: u64 = 300;
 /// The start order of a run that no report has listed for this time is sent again, and then at this interval.
 const ORDER_RETRY_MS: u64 = 3_000;
 /// A run that no report has listed for this time, despite repeated orders, counts as not started.
@@ -61,7 +61,9 @@
     if is_stopping {
         return;
     }
-    if absence_duration_ms >= ORDER_RETRY_MS && absence_duration_ms % ORDER_RETRY_MS < CHECK_MS {
+    if absence_duration_ms >= ORDER_RETRY_MS
+        && absence_duration_ms % ORDER_RETRY_MS < CHECK_INTERVAL_MS
+    {
         cluster.push_start_order(order);
     }
     let view = cluster.view();
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -10,7 +10,7 @@
 use crate::preemption::{PREEMPT_MS, preempt};
 use crate::reports::{AnswerWithoutInstance, Reports};
 use crate::rows::{RowError, RowKey};
-use crate::run_checks::{CHECK_MS, check_runs};
+use crate::run_checks::{CHECK_INTERVAL_MS, check_runs};
 use crate::takeover::{AGENTS_RECONNECT_MS, load};
 use crate::timers::Periodic;
 use indigofold_protocol::internal::AgentOrders;
@@ -50,7 +50,7 @@
             placer: Placer::new(seed, now_ms),
             next_tick_ms: now_ms,
             solve_timer: Periodic::new(SOLVE_KINDS_MS, now_ms),
-            check_timer: Periodic::new(CHECK_MS, now_ms),
+            check_timer: Periodic::new(CHECK_INTERVAL_MS, now_ms),
             preempt_timer: Periodic::new(PREEMPT_MS, now_ms),
         }
     }
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -360,10 +360,10 @@
             match remaining_bytes.next() {
                 Some(b'x') => {
                     let hex: Vec<u8> = remaining_bytes.clone().take(2).collect();
-                    let code = std::str::from_utf8(&hex).ok().filter(|h| h.len() == 2);
-                    match code.and_then(|h| u8::from_str_radix(h, 16).ok()) {
-                        Some(code) => {
-                            unescaped_bytes.push(code);
+                    let digits = std::str::from_utf8(&hex).ok().filter(|h| h.len() == 2);
+                    match digits.and_then(|h| u8::from_str_radix(h, 16).ok()) {
+                        Some(decoded_byte) => {
+                            unescaped_bytes.push(decoded_byte);
                             remaining_bytes.nth(1);
                         }
                         None => unescaped_bytes.extend(b"\\x"),
