--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -4,71 +4,71 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A scenario. Times are seconds or milliseconds as their names say, counted from its start.
+/// A replay scenario. The suffix of a field's name gives its unit (`-s` or `-ms`); points in time count from the start.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
-    /// The form of this file: 1.
+    /// Version of the file format; must be 1.
     #[schemars(range(min = 1, max = 1))]
     pub version: u32,
-    /// A name, for reports.
+    /// Name of the scenario in reports; empty by default.
     #[serde(default)]
     pub name: String,
-    /// Unix time, in seconds, at which it starts.
+    /// Unix time, in seconds, at which the scenario starts. Default: 1795978800.
     #[serde(default = "default_start")]
     pub start: u64,
-    /// Random numbers begin here.
+    /// Seed of the random draws of a run, unless the command line gives another one. Default: 1.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Job workers' speeds are drawn from this, whatever a run's seed: the fleet is the same in all runs.
+    /// Seed of the job workers' speeds. It is independent of the run's seed, so all runs have the same fleet. Default: 1.
     #[serde(default = "default_seed")]
     pub fleet_seed: u64,
-    /// Schedulers.
+    /// Number of schedulers, 1 to 256. Default: 3.
     #[serde(default = "default_schedulers")]
     #[schemars(range(min = 1, max = 256))]
     pub schedulers: u32,
-    /// Kitchens (zones); schedulers and job workers are dealt out to them in turn.
+    /// Names of the zones, at least one. Schedulers and job workers are assigned to them round-robin.
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
-    /// Classes of jobs.
+    /// Job classes, at least one; their names are unique.
     #[schemars(length(min = 1))]
     pub classes: Vec<Class>,
-    /// Parishes.
+    /// Parishes (the tenants that submit jobs), at least one; their names are unique.
     #[schemars(length(min = 1))]
     pub parishes: Vec<Parish>,
-    /// Kinds of machines, and how many job workers are on each.
+    /// Machine kinds, each with its number of job workers. Workers are numbered from 0, kind after kind.
     #[schemars(length(min = 1))]
     pub kinds: Vec<Kind>,
-    /// The network.
+    /// Network delays.
     #[serde(default)]
     pub network: Network,
-    /// The clients.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: Clients,
-    /// How job workers serve.
+    /// Behaviour of the job workers.
     #[serde(default)]
     pub machines: Machines,
-    /// Discovery.
+    /// Delays of service discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Load that is made; a replay has its own.
+    /// Generated load; not used if the load comes from a recording.
     #[serde(default)]
     pub load: Load,
-    /// What goes wrong.
+    /// Faults to inject; none by default.
     #[serde(default)]
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// The rules' figures.
+    /// Limits of the rules that a run is checked against.
     #[serde(default)]
     pub rules: Rules,
-    /// Prices: points of the figure for each unit.
+    /// Prices that are deducted from the service metric (at most 1), each for one unit of cost.
     #[serde(default)]
     pub prices: Prices,
-    /// Worth of a job beyond its parish's share.
+    /// Factor applied to the value of a job that exceeds its parish's quota. Default: 0.2.
     #[serde(default = "default_over_quota_value")]
     #[serde(rename = "over-share-worth")]
     pub over_quota_value: f64,
-    /// What each scheduler may hold.
+    /// Resource limits of each scheduler.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -86,26 +86,26 @@
     0.2
 }
 
-/// Whether a class may run more than once.
+/// Whether the jobs of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// A job may run any number of times.
     Safe,
-    /// All job workers drop a repeat for so many milliseconds.
+    /// Repeats of a job are deduplicated across all job workers within this window, in milliseconds.
     Keyed(u64),
-    /// It must never run twice.
+    /// A job must run at most once.
     Unsafe,
 }
 
-/// How running times spread round their mean.
+/// Distribution of the running times around their mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spread {
-    /// Lognormal, with the class's `cv`.
+    /// Lognormal distribution with the class's `cv`.
     #[default]
     Lognormal,
-    /// Exponential.
+    /// Exponential distribution; `cv` is ignored.
     Exponential,
 }
 
@@ -113,29 +113,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
-    /// The first one, which waits until it fits.
+    /// The oldest waiting job; it blocks the others until it fits into the free slots.
     #[default]
     InOrder,
-    /// The first one that fits.
+    /// The oldest waiting job that fits into the free slots.
     WhateverFits,
-    /// The first of the highest priority, which waits until it fits.
+    /// The oldest waiting job of the highest priority; it blocks the others until it fits into the free slots.
     Priority,
 }
 
-/// How job workers serve.
+/// Behaviour of the job workers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Machines {
-    /// Which waiting job starts next.
+    /// Order in which waiting jobs start. Default: `in-order`.
     pub order: Order,
-    /// A job that is given up stops.
+    /// Whether an attempt that a scheduler cancels stops at the job worker; otherwise it runs on. Default: false.
     pub cancel: bool,
-    /// Two attempts of one job may be out at once.
+    /// Whether two attempts of one job may be open at the same time. Default: true.
     #[serde(rename = "copies")]
     pub speculative_runs: bool,
-    /// They answer probes with their load.
+    /// Whether job workers answer probes with their load. Default: true.
     pub reports: bool,
-    /// What jobs need and job workers keep; without it, nothing.
+    /// Objects that jobs need and job workers cache. If absent, jobs need no objects.
     pub things: Option<Things>,
 }
 
@@ -151,57 +151,57 @@
     }
 }
 
-/// What jobs are about, as far as a job worker must have it.
+/// Cache of the objects that jobs need: a job worker fetches a missing object from a shared store.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Things {
-    /// How many a job worker keeps.
+    /// Number of objects that each job worker caches, at least 1. The least recently used one is evicted.
     #[schemars(range(min = 1))]
     pub kept: u32,
-    /// A fetch takes so many times a mean job, where the store is not crowded.
+    /// Duration of a fetch at full speed, 0 to 100, as a multiple of the mean running time of all jobs at speed 1.
     pub fetch: f64,
-    /// Fetches at once that the store serves at full speed.
+    /// Number of concurrent fetches that the store serves at full speed, over 0; with more, fetches slow down in proportion.
     pub at_once: f64,
 }
 
-/// A class of jobs.
+/// A job class.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name.
+    /// Name of the class, unique among the classes.
     pub name: String,
-    /// Its share of the jobs that are made.
+    /// Weight of the class in generated load, relative to the sum over all classes.
     #[serde(rename = "share")]
     pub weight: f64,
-    /// Whether it may run more than once.
+    /// Whether a job of the class may run more than once.
     pub effect: Effect,
-    /// Its mean running time at speed 1.
+    /// Mean running time at speed 1, in milliseconds, at least 0.001.
     #[schemars(range(min = 0.001))]
     pub work_ms: f64,
-    /// How running times spread.
+    /// Distribution of the running times. Default: `lognormal`.
     #[serde(default)]
     pub spread: Spread,
-    /// The coefficient of variation (of a lognormal; an exponential's is 1).
+    /// Coefficient of variation of a lognormal distribution; an exponential one always has 1. Default: 0.5.
     #[serde(default = "default_cv")]
     pub cv: f64,
-    /// Job workers that order by priority serve higher ones first.
+    /// Priority of the jobs: workers with the order `priority` start higher values first. Default: 0.
     #[serde(default)]
     pub priority: i32,
-    /// Shares of jobs with 1, 2, 4 ... slots.
+    /// Relative weights of the jobs that occupy 1, 2, 4 and so on slots, in this order. Default: all jobs occupy 1 slot.
     #[serde(default = "default_slots")]
     pub slots: Vec<f64>,
-    /// An answer within this time, and `stretch` times the job's own running time at speed 1, is in time.
+    /// Fixed part of the latency target, in milliseconds. The target is `aim-ms` plus `stretch` times the job's running time at speed 1.
     #[serde(rename = "aim-ms")]
     pub latency_target_ms: u64,
-    /// See `aim-ms`.
+    /// Multiple of the job's running time at speed 1 that is added to `aim-ms` to give the latency target.
     pub stretch: f64,
-    /// A client waits so long over all its tries.
+    /// How long a client waits for a job over all its tries, in milliseconds, at least 1.
     #[schemars(range(min = 1))]
     pub deadline_ms: u64,
-    /// Worth of a job in time.
+    /// Value of a job that is answered within its latency target.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// Share of the worth that a late answer earns.
+    /// Fraction of `worth` that an answer after the latency target earns.
     #[serde(rename = "late-worth")]
     pub late_value: f64,
 }
@@ -213,19 +213,19 @@
     vec![1.0]
 }
 
-/// A parish.
+/// A parish: a tenant that submits jobs and has a quota.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Parish {
-    /// Its name.
+    /// Name of the parish, unique among the parishes.
     pub name: String,
-    /// Its share of what the fleet can do.
+    /// Quota of the parish, as a fraction of the capacity of the warm fleet.
     #[serde(rename = "share")]
     pub quota: f64,
-    /// How much of its share it asks for in made load.
+    /// Demand relative to the quota: in generated load, the weight of a parish is `share` times `usage`. Default: 1.
     #[serde(default = "default_usage")]
     pub usage: f64,
-    /// Its kitchen, whose schedulers it calls; without one, in turn.
+    /// Zone whose schedulers the parish calls. If absent, parishes are assigned to the zones round-robin.
     pub zone: Option<String>,
 }
 
@@ -233,27 +233,27 @@
     1.0
 }
 
-/// A kind of machines.
+/// A machine kind.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Kind {
-    /// Its name.
+    /// Name of the machine kind.
     pub name: String,
-    /// Job workers on such machines.
+    /// Number of job workers on machines of this kind.
     pub count: u32,
-    /// Cores; one slot each.
+    /// Cores of each machine, 1 to 1024; each core is one slot.
     #[schemars(range(min = 1, max = 1024))]
     pub cores: u32,
-    /// Speeds are drawn between these; 1 is the yardstick.
+    /// Lower and upper bound, both over 0, between which a worker's speed is drawn uniformly; 1 is the reference speed.
     pub speed: [f64; 2],
-    /// Jobs that may wait for each core.
+    /// Queue capacity of a worker, in jobs per core. Default: 14.
     #[serde(default = "default_queue_per_core")]
     pub queue_per_core: f64,
-    /// Share of its capacity that a cold one starts with.
+    /// Fraction of its capacity with which a restarted worker begins, over 0 and up to 1. Default: 0.4.
     #[serde(default = "default_initial_capacity")]
     #[serde(rename = "cold-from")]
     pub initial_capacity: f64,
-    /// It is warm after so long.
+    /// Longest warm-up of a restarted worker, in seconds; completed work shortens it. 0: no warm-up. Default: 6.
     #[serde(default = "default_warm_up_s")]
     pub warm_s: f64,
 }
@@ -268,17 +268,17 @@
     6.0
 }
 
-/// The network, one way.
+/// One-way network delays.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Network {
-    /// Within a kitchen.
+    /// Delay within a zone, in milliseconds. Default: 0.2.
     pub same_ms: f64,
-    /// Between two.
+    /// Delay between two zones, in milliseconds. Default: 2.5.
     pub cross_ms: f64,
-    /// Between clients and schedulers.
+    /// Delay between clients and schedulers, in milliseconds. Default: 0.5.
     pub client_ms: f64,
-    /// Each delay is drawn up to this share above and below.
+    /// Largest deviation of a delay from its configured value, as a fraction of it; drawn uniformly. Default: 0.2.
     pub jitter: f64,
 }
 
@@ -293,28 +293,28 @@
     }
 }
 
-/// The clients.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Clients {
-    /// Retries after a refusal.
+    /// Maximum number of retries of a job; 0: none. Default: 3.
     pub retries: u32,
-    /// Wait before a retry.
+    /// Wait before a retry, in milliseconds, unless the client follows Retry-After. Default: 50.
     pub backoff_ms: f64,
-    /// Share of clients that wait as Retry-After says.
+    /// Probability, drawn for each retry, that a client follows the Retry-After of a refusal. Default: 0.5.
     pub honour: f64,
-    /// ... for so long at the most.
+    /// Upper limit of the Retry-After wait, in milliseconds, for clients and schedulers. Default: 2000.
     pub max_retry_after_ms: u64,
-    /// Clients mark their retries.
+    /// Whether retries are marked as such in exported logs. Default: true.
     #[serde(rename = "mark")]
     pub retries_marked: bool,
-    /// Clients retry jobs that failed, too, where a repeat does no harm.
+    /// Whether clients also retry failed jobs, except those of `unsafe` classes. Default: true.
     pub after_failure: bool,
-    /// Clients (addresses) of each parish.
+    /// Number of clients (addresses) of each parish; 0 counts as 1. Default: 12.
     pub offices: u32,
-    /// Things that a parish's jobs are about, and the exponent of their popularity (Zipf).
+    /// Number of distinct objects in generated load; 0 counts as 1. Default: 20000.
     pub subjects: u32,
-    /// See `subjects`.
+    /// Exponent of the Zipf distribution by which jobs choose their objects. Default: 0.8.
     pub zipf: f64,
 }
 
@@ -334,16 +334,16 @@
     }
 }
 
-/// Discovery.
+/// Delays of service discovery.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Discovery {
-    /// It learns of a start, a drain or an end after so long.
+    /// Delay until discovery learns of the start, drain or end of a worker, in milliseconds. Default: 1500.
     pub notice_ms: u64,
-    /// It learns that a machine has vanished after so long.
+    /// Delay until discovery learns that a machine has vanished, in milliseconds; no fault uses it at present. Default: 8000.
     #[serde(rename = "silent-notice-ms")]
     pub unresponsive_notice_ms: u64,
-    /// A call takes so long.
+    /// Duration of a call to discovery, in milliseconds. Default: 30.
     pub call_ms: u64,
 }
 
@@ -357,106 +357,106 @@
     }
 }
 
-/// Load that is made: a Poisson process whose rate follows a course.
+/// Generated load: a Poisson process whose rate varies over time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Load {
-    /// How long.
+    /// Duration of the load, in seconds. With the default 0, no load can be generated.
     pub seconds: f64,
-    /// First tries a second, on the mean.
+    /// Base rate, in first tries per second, before `swing` and `jumps` apply. With the default 0, no load can be generated.
     pub rate: f64,
-    /// The rate swings by this share above and below ...
+    /// Amplitude of the sinusoidal variation of the rate, as a fraction of `rate`. Default: 0.
     pub swing: f64,
-    /// ... once in so many seconds.
+    /// Period of the sinusoidal variation, in seconds. Default: 0, which means no variation.
     pub swing_s: f64,
-    /// Jumps.
+    /// Temporary changes of the rate; where several overlap, their factors multiply. None by default.
     pub jumps: Vec<Jump>,
 }
 
-/// A jump of the rate.
+/// A temporary change of the rate.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Jump {
-    /// When.
+    /// Start, in seconds after the start of the scenario.
     pub at_s: f64,
-    /// For how long.
+    /// Duration in seconds, including both edges.
     pub for_s: f64,
-    /// To so many times the usual.
+    /// Factor by which the rate is multiplied.
     pub times: f64,
-    /// Rise and fall, each.
+    /// Duration of the linear rise and of the linear fall, in seconds each. Default: 0, an immediate change.
     #[serde(default)]
     pub edge_s: f64,
 }
 
-/// Something that goes wrong.
+/// An injected fault.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 #[schemars(rename = "Trouble")]
 pub struct Fault {
-    /// When.
+    /// Start, in seconds after the start of the scenario.
     pub at_s: f64,
-    /// For how long.
+    /// Duration in seconds. Default: 0.
     #[serde(default)]
     pub for_s: f64,
-    /// Which job workers, by number from 0.
+    /// Numbers of the affected job workers, from 0.
     pub workers: Vec<u32>,
-    /// What.
+    /// Kind of the fault.
     pub what: FaultKind,
 }
 
-/// What goes wrong with job workers.
+/// Kind of a fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "What")]
 pub enum FaultKind {
-    /// They take jobs and say nothing, and go on where they were once it is over.
+    /// The workers accept jobs without responding, and resume where they stopped when the fault ends.
     Hang,
-    /// They stand still for a while, again and again.
+    /// The workers stall repeatedly.
     #[serde(rename_all = "kebab-case")]
     Pauses {
-        /// For so long each time ...
+        /// Duration of each stall, in milliseconds.
         ms: f64,
-        /// ... so often.
+        /// Time from the start of one stall to the start of the next, in milliseconds; less than 1 counts as 1.
         every_ms: f64,
     },
-    /// They crash, and are back, cold, once it is over. What they had is lost.
+    /// The workers crash and lose their jobs; they restart cold when the fault ends.
     Crash,
-    /// They drain, and are back, cold, once it is over.
+    /// The workers drain; they restart cold when the fault ends, and lose jobs that still run then.
     Drain,
-    /// Jobs run so many times as long.
+    /// Jobs on the workers take longer.
     #[serde(rename_all = "kebab-case")]
     Slow {
-        /// Over 1.
+        /// Factor on the running times, over 1 and up to 1000.
         times: f64,
     },
-    /// A few things draw a share of all jobs; no job worker is touched.
+    /// A few objects are needed by a fraction of all generated jobs; the job workers are not affected.
     #[serde(rename_all = "kebab-case")]
     HotThings {
-        /// Their share of the jobs.
+        /// Fraction of the jobs that need one of the hot objects, 0 to 1.
         #[serde(rename = "share")]
         fraction: f64,
-        /// How many they are.
+        /// Number of hot objects; 0 counts as 1.
         things: u32,
     },
 }
 
-/// The rules' figures.
+/// Limits of the rules that a run is checked against.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Rules {
-    /// A draining or gone job worker gets nothing new so long after the scheduler was told.
+    /// Time after a scheduler learns of a worker's drain or end until it must send no more jobs there, in milliseconds. Default: 300.
     pub drain_grace_ms: u64,
-    /// A cold one falls if sent more than so many times what it can do ...
+    /// Work that may be sent to a warming worker within `tip-window-ms`, as a multiple of its capacity, plus an allowance for chance. Default: 3.
     pub tip_multiple: f64,
-    /// ... for so long.
+    /// Length of the sliding window for `tip-multiple`, in milliseconds. Default: 2000.
     pub tip_window_ms: u64,
-    /// A final answer may come so long after the client's time is up.
+    /// Time after the client's deadline within which a final answer is still allowed, in milliseconds. Default: 16.
     pub answer_slack_ms: u64,
-    /// All job workers are warm after so long.
+    /// Time after a restart by which every job worker counts as warm, in seconds; part of the schedulers' settings. Default: 9.
     pub warm_after_s: f64,
-    /// Attempts a job may have.
+    /// Maximum number of attempts of a job. Default: 4.
     pub attempts: u32,
-    /// Each limit is longer by this.
+    /// Tolerance that is added to the time limits of the checks, in milliseconds. Default: 50.
     pub slack_ms: u64,
 }
 
@@ -474,17 +474,17 @@
     }
 }
 
-/// Prices: points of the figure (as a fraction) for each unit.
+/// Prices that are deducted from the service metric (at most 1), each for one unit of cost.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Prices {
-    /// Attempts that cross kitchens, per first try.
+    /// Price of one attempt that crosses zones per first try. Default: 0.03.
     pub cross_zone: f64,
-    /// Work without an answer, per work asked for.
+    /// Price of completed work that yields no answer, relative to the work requested. Default: 0.023.
     pub waste: f64,
-    /// Probes, per first try.
+    /// Price of one probe per first try. Default: 0.0025.
     pub probe: f64,
-    /// Worth that ends unserved after its aim, per worth asked for.
+    /// Price of the value of jobs that end unserved after their latency target, relative to the value requested. Default: 0.072.
     pub late_fail: f64,
 }
 
@@ -499,15 +499,15 @@
     }
 }
 
-/// What each scheduler may hold.
+/// Resource limits of each scheduler.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Descriptors.
+    /// Maximum number of open file descriptors; a quarter of it limits the open requests. Default: 1024.
     pub sockets: u32,
-    /// Memory.
+    /// Memory limit in megabytes, as stated in the scheduler's settings. Default: 192.
     pub memory_mb: u32,
-    /// Schedulers decide so often at the most.
+    /// Minimum interval between two decisions of a scheduler, in milliseconds. Default: 2.
     pub tick_ms: f64,
 }
 
